--- a/packages/routing/src/choose-upstream.ts
+++ b/packages/routing/src/choose-upstream.ts
@@ -2,109 +2,111 @@
 import type {Milliseconds, Zone} from '@gentianlift/types';
 import type {Upstream} from './upstream.js';
 
-/** Work at an upstream, from all hosts. */
+/** Load that all hosts together put on an upstream. */
 export type UpstreamLoad = {
-	/** Requests sent and not yet answered to their end. */
+	/** Number of requests in flight. */
 	running: number;
-	/** Prompt tokens of requests that have not answered with their first token. */
+	/** Prompt tokens to prefill of requests in flight that have not returned their first token. */
 	unreadTokens: number;
-	/** Of the running ones, streams that long prompts beside them make late. */
+	/** Number of latency-sensitive streams among the requests in flight. */
 	delicate: number;
-	/** Prompt tokens of requests that wait at hosts for this upstream. */
+	/** Prompt tokens of requests that are queued at the hosts for this upstream. */
 	awaitedTokens: number;
-	/** When the upstream was last seen to start or finish reading a prompt. */
+	/** When the upstream was last observed to start or finish a prefill. */
 	progressAt: Milliseconds;
 };
 
-/** An upstream with what is known of it. */
+/** An upstream that may receive the request, with its load and the properties that determine its cost. */
 export type Candidate = {
 	upstream: Upstream;
 	load: UpstreamLoad;
-	/** Time until it has read the prompts that it was sent. */
+	/** Time until it has prefilled the prompts that were sent to it. */
 	backlog: Milliseconds;
-	/** Time that it will read prompts which wait at the hosts for it and go before this one. */
+	/** Time that it needs to prefill the prompts which are queued for it ahead of this one. */
 	awaited: Milliseconds;
-	/** Tokens of the prompt that it has to read. */
+	/** Prompt tokens that it has to prefill, as it has not cached them. */
 	uncachedTokens: number;
-	/** Of these, tokens of shared parts that another candidate keeps. */
+	/** Of these, tokens of shared parts that another candidate has cached. */
 	rereadTokens: number;
-	/** Prompt tokens that it reads in a millisecond. */
+	/** Prompt tokens that it prefills per millisecond. */
 	readingSpeed: number;
-	/** Whether it is set apart for delicate streams. */
+	/** Whether it is reserved for latency-sensitive streams. */
 	isQuiet: boolean;
-	/** Recent share of failures, from 0 to 1. */
+	/** Recent fraction of failures among its results, from 0 to 1. */
 	failureShare: number;
-	/** Time of an answer against the median of its peers; 1 is the same. */
+	/** Response time in relation to the median of the candidates; 1 is the median. */
 	slowness: number;
 };
 
-/** What is to be placed. */
+/** Properties of the request that determine the cost of a candidate. */
 export type Placement = {
+	/** Availability zone of the host that forwards the request. */
 	zone: Zone;
-	/** Whether the request names the parts of its prompt. */
+	/** Whether the request lists the parts of its prompt. */
 	hasPrompt: boolean;
+	/** Whether the request is a latency-sensitive stream. */
 	isDelicate: boolean;
-	/** Time left in which the first token is on time. */
+	/** Remaining time until the target for the first token is missed. */
 	slack: Milliseconds;
 };
 
-/** Milliseconds that one more running request is worth. */
-const costForRunning: Milliseconds = 2;
-/** Milliseconds that a call to another availability zone is worth. */
-const costForZone: Milliseconds = 12;
-/** Milliseconds that a certain failure is worth. */
-const costForFailure: Milliseconds = 3000;
-/** Milliseconds that a first token beyond its time is worth. */
-const costForLateness: Milliseconds = 1500;
-/** Factor on the time for reading what another upstream keeps, as it is work for nothing. */
-const rereadFactor = 8;
-/** Milliseconds that a delicate stream is worth that becomes late. */
-const costForDisturbance: Milliseconds = 250;
-/** Milliseconds that are added where a long prompt would go to an upstream that is set apart. */
-const costForIntrusion: Milliseconds = 4000;
-/** Milliseconds that are added where a delicate stream would go beside long prompts. */
-const costForExposure: Milliseconds = 300;
-/** Prompt tokens that an upstream reads between two events of a delicate stream without making it late. */
-export const harmlessTokens = 5500;
+/** Cost of each request in flight. */
+const runningRequestCost: Milliseconds = 2;
+/** Cost of a request to another availability zone. */
+const crossZoneCost: Milliseconds = 12;
+/** Cost of an upstream whose failure ratio is 1. */
+const failureCost: Milliseconds = 3000;
+/** Cost of missing the target for the first token. */
+const latenessCost: Milliseconds = 1500;
+/** Weight of the time to prefill tokens that another upstream has cached, as this repeats work. */
+const redundantPrefillFactor = 8;
+/** Cost of each latency-sensitive stream that is delayed by interference. */
+const interferenceCostPerStream: Milliseconds = 250;
+/** Cost of a long prefill on a reserved upstream; also the maximum cost of interference. */
+const reservedUpstreamPenalty: Milliseconds = 4000;
+/** Cost of a latency-sensitive stream on an upstream that isn't reserved and may receive long prefills. */
+const unreservedUpstreamPenalty: Milliseconds = 300;
+/** Prompt tokens that an upstream can prefill between two events of a latency-sensitive stream without delaying it. */
+export const maxHarmlessPrefillTokens = 5500;
 
-/** Part of a slot that a call to another availability zone is worth to a service without prompts. */
-const slotsForZone = 0.25;
-/** Slots that a certain failure is worth. */
-const slotsForFailure = 20;
+/** Cost of a request to another availability zone for a service without prompts, in requests in flight. */
+const crossZoneSlotCost = 0.25;
+/** Cost of an upstream whose failure ratio is 1 for a service without prompts, in requests in flight. */
+const failureSlotCost = 20;
 
-/** Gets the cost of a long prompt beside delicate streams, and the reverse. */
-const getDisturbance = ({isQuiet, load, backlog, uncachedTokens, readingSpeed}: Candidate, {isDelicate}: Placement): Milliseconds => {
-	const isHarmful = (backlog * readingSpeed) + uncachedTokens > harmlessTokens;
-	const harm = isHarmful ? load.delicate * costForDisturbance : 0;
-	if (isDelicate) {
-		return Math.min(harm, costForIntrusion) + (isQuiet ? 0 : costForExposure);
+/** Returns the cost of interference between a long prefill and latency-sensitive streams, whichever of them the request is. */
+const getInterferenceCost = ({isQuiet: isReserved, load, backlog, uncachedTokens, readingSpeed: prefillRate}: Candidate, {isDelicate: isLatencySensitive}: Placement): Milliseconds => {
+	const isInterfering = (backlog * prefillRate) + uncachedTokens > maxHarmlessPrefillTokens;
+	const interferenceCost = isInterfering ? load.delicate * interferenceCostPerStream : 0;
+	if (isLatencySensitive) {
+		return Math.min(interferenceCost, reservedUpstreamPenalty) + (isReserved ? 0 : unreservedUpstreamPenalty);
 	}
 
-	return isQuiet && isHarmful ? costForIntrusion : Math.min(harm, costForIntrusion);
+	return isReserved && isInterfering ? reservedUpstreamPenalty : Math.min(interferenceCost, reservedUpstreamPenalty);
 };
 
 const getGenerationCost = (candidate: Candidate, placement: Placement): number => {
 	const {
-		upstream, load, backlog, awaited, uncachedTokens, rereadTokens, readingSpeed, failureShare,
+		upstream, load, backlog, awaited: queueDelay, uncachedTokens, rereadTokens, readingSpeed: prefillRate, failureShare: failureRatio,
 	} = candidate;
-	const first = backlog + awaited + (uncachedTokens / readingSpeed);
-	const reread = rereadFactor * rereadTokens / readingSpeed;
-	const lateness = first > placement.slack ? costForLateness : 0;
-	const distance = upstream.zone === placement.zone ? 0 : costForZone;
-	return first + reread + lateness + distance
-		+ (load.running * costForRunning) + (failureShare * costForFailure) + getDisturbance(candidate, placement);
+	const timeToFirstToken = backlog + queueDelay + (uncachedTokens / prefillRate);
+	const redundantPrefill = redundantPrefillFactor * rereadTokens / prefillRate;
+	const latenessPenalty = timeToFirstToken > placement.slack ? latenessCost : 0;
+	const zonePenalty = upstream.zone === placement.zone ? 0 : crossZoneCost;
+	return timeToFirstToken + redundantPrefill + latenessPenalty + zonePenalty
+		+ (load.running * runningRequestCost) + (failureRatio * failureCost) + getInterferenceCost(candidate, placement);
 };
 
-const getCallCost = ({upstream, load, failureShare, slowness}: Candidate, {zone}: Placement): number => {
-	const distance = upstream.zone === zone ? 0 : slotsForZone;
-	return ((load.running + 1) * slowness) + distance + (failureShare * slotsForFailure);
+const getCallCost = ({upstream, load, failureShare: failureRatio, slowness: relativeLatency}: Candidate, {zone}: Placement): number => {
+	const zonePenalty = upstream.zone === zone ? 0 : crossZoneSlotCost;
+	return ((load.running + 1) * relativeLatency) + zonePenalty + (failureRatio * failureSlotCost);
 };
 
-/** Gets the cost of placing the request at the candidate; comparable only between candidates of one service. */
+/** Returns the cost of sending the request to the candidate; only costs of one service's candidates are comparable. */
 export const getCost = (candidate: Candidate, placement: Placement): number =>
 	placement.hasPrompt ? getGenerationCost(candidate, placement) : getCallCost(candidate, placement);
 
-/** Chooses the candidate of the least cost, one of them at random where several have it. */
+/** Chooses the candidate with the lowest cost; a small random addition breaks ties. */
 export const chooseUpstream = (candidates: readonly Candidate[], placement: Placement, random: Random): Candidate | undefined => {
 	let best: Candidate | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -1,47 +1,48 @@
 import type {CustomerId, Milliseconds, Rank} from '@gentianlift/types';
 
-/** How the requests of a route may be repeated: a streaming one only where its route is resumable. */
+/** Kind of a route's requests, which determines whether they may execute more than once; streaming ones only if the route is resumable. */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'streaming';
 
-/** A service that a route's requests go to, with its share of them. */
+/** A service that receives requests of a route, in proportion to its weight. */
 export type Destination = {service: string; weight: number};
 
-/** Which requests go to which services, and how. */
+/** Matches requests by host name and path, and defines how they are forwarded to services. */
 export type Route = {
 	name: string;
-	/** Host name that callers put into the `Host` header, without a port. */
+	/** Host name in the `Host` header, without a port. */
 	hostname: string;
-	/** Beginning of the path; starts and ends with a slash. */
+	/** Prefix of the request's path; starts and ends with a slash. */
 	pathPrefix: string;
 	kind: RouteKind;
-	/** Whether a broken stream may go on at another upstream. */
+	/** Whether an interrupted stream may be resumed on another upstream. */
 	isResumable: boolean;
-	/** Whether requests need no key. */
+	/** Whether requests need no API key. */
 	isPublic: boolean;
-	/** Whether requests name the parts of their prompt, which upstreams cache. */
+	/** Whether requests list the parts of their prompt, so that routing can make use of the upstreams' prompt caches. */
 	hasPrompt: boolean;
-	/** Longest time from a request's arrival to the end of its answer. */
+	/** Maximum time from a request's arrival to the end of its response. */
 	timeout: Milliseconds;
-	/** Time within which an answer, or the first event of a stream, is of full value. */
+	/** Target for the time from arrival to the response, or to the first event of a stream. */
 	target: Milliseconds;
-	/** Longest pause between events for which a stream is of full value. */
+	/** Target for the longest interval between two events of a stream. */
 	pauseTarget?: Milliseconds;
+	/** Default priority of the requests; 0 is the highest. */
 	rank: Rank;
-	/** Upstreams on which one request may run. */
+	/** Maximum number of upstreams that may execute one request. */
 	mostUpstreams: number;
 	destinations: Destination[];
 };
 
-/** A service with several upstreams. */
+/** A service that is provided by several upstreams. */
 export type Service = {
 	name: string;
-	/** Connections that one upstream takes from all hosts together. */
+	/** Maximum number of connections to one upstream from all hosts together. */
 	mostConnections: number;
-	/** Present for model engines. */
+	/** Present for model engines: concurrent requests and prompt cache of one upstream, and output tokens per streamed event. */
 	engine?: {slots: number; cacheTokens: number; tokensForEvent: number};
 };
 
-/** What callers may send, and how slowly. */
+/** Limits on the size of callers' requests and on the time they take to arrive. */
 export type CallerLimits = {
 	mostHeaderBytes: number;
 	mostBodyBytes: number;
@@ -49,19 +50,19 @@
 	idleTimeout: Milliseconds;
 };
 
-/** Who may send requests. */
+/** A customer with its API keys; its rank, if present, overrides that of the route. */
 export type KeyHolder = {name: CustomerId; keys: string[]; rank?: Rank};
 
-/** One version of what the operators want. Versions only rise. */
+/** A version of the operators' configuration. Version numbers only increase. */
 export type RoutingConfiguration = {
 	version: number;
 	routes: Route[];
 	services: Service[];
 	limits: CallerLimits;
-	/** Absent where requests carry no keys. */
+	/** Absent if requests need no API keys. */
 	customers?: KeyHolder[];
 };
 
-/** Tells whether a request of the route may run more than once. */
+/** Returns whether a request of the route may execute more than once. */
 export const isRepeatable = (route: Route): boolean =>
 	route.kind === 'idempotent' || (route.kind === 'streaming' && route.isResumable);
--- a/packages/routing/src/crash-suspects.ts
+++ b/packages/routing/src/crash-suspects.ts
@@ -1,37 +1,38 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {UpstreamKey} from './upstream.js';
 
-/** A request that ran on an upstream when it crashed. The fingerprint is the same for each copy of the request. */
+/** A request that was running on an upstream when the upstream crashed. All copies of a request have the same fingerprint. */
 export type Crash = {fingerprint: string; upstream: UpstreamKey};
 
-/** Crashes after which copies of a request are sent to no upstream. */
-export const mostCrashes = 3;
+/** Number of crashed upstreams after which a request is blocked. */
+export const maxCrashes = 3;
 
-/** How long a fingerprint stays recorded after its last crash. */
-const suspectDuration: Milliseconds = 120_000;
-/** Most fingerprints recorded. */
-const mostSuspects = 1000;
+/** Time after its last crash for which a fingerprint is kept. */
+const suspectLifetime: Milliseconds = 120_000;
+/** Maximum number of fingerprints kept. */
+const maxSuspects = 1000;
 
 type Suspect = {upstreams: Set<UpstreamKey>; expiresAt: Milliseconds};
 
-/** Requests that ran on upstreams when these crashed. */
+/** Registry of requests that may have crashed the upstreams that ran them. */
 export type CrashSuspects = {
-	/** Records a crash; false if it was known. */
+	/** Records a crash; returns false if it was recorded before. */
 	add: (crash: Crash, now: Milliseconds) => boolean;
-	/** Clears a request that ran to its end; false if it wasn't recorded. */
+	/** Removes a request that has completed; returns false if it wasn't recorded. */
 	clear: (fingerprint: string) => boolean;
+	/** Whether the request crashed so many upstreams that it must not be sent to another one. */
 	isBlocked: (fingerprint: string, now: Milliseconds) => boolean;
-	/** Tells whether any fingerprint is recorded, so that others need not be worked out. */
+	/** Whether no fingerprint is recorded, in which case callers need not compute any. */
 	isEmpty: () => boolean;
 };
 
-/** Creates an empty record. */
+/** Creates an empty registry. */
 export const createCrashSuspects = (): CrashSuspects => {
 	const suspects = new Map<string, Suspect>();
 
-	const dropOld = (now: Milliseconds): void => {
+	const evictSuspects = (now: Milliseconds): void => {
 		for (const [fingerprint, {expiresAt}] of suspects) {
-			if (expiresAt <= now || suspects.size > mostSuspects) {
+			if (expiresAt <= now || suspects.size > maxSuspects) {
 				suspects.delete(fingerprint);
 			}
 		}
@@ -43,14 +44,14 @@
 			const isNew = !upstreams.has(upstream);
 			upstreams.add(upstream);
 			suspects.delete(fingerprint);
-			suspects.set(fingerprint, {upstreams, expiresAt: now + suspectDuration});
-			dropOld(now);
+			suspects.set(fingerprint, {upstreams, expiresAt: now + suspectLifetime});
+			evictSuspects(now);
 			return isNew;
 		},
 		clear: fingerprint => suspects.delete(fingerprint),
 		isBlocked(fingerprint, now) {
 			const suspect = suspects.get(fingerprint);
-			return suspect !== undefined && suspect.expiresAt > now && suspect.upstreams.size >= mostCrashes;
+			return suspect !== undefined && suspect.expiresAt > now && suspect.upstreams.size >= maxCrashes;
 		},
 		isEmpty: () => suspects.size === 0,
 	};
--- a/packages/routing/src/prompt-cache.ts
+++ b/packages/routing/src/prompt-cache.ts
@@ -1,82 +1,82 @@
 import type {Prompt, PromptPart} from './prompt.js';
 
-/** Share of an upstream's memory that parts of earlier prompts are taken to fill. */
-const usableShare = 0.8;
+/** Fraction of an upstream's prompt cache that is assumed to be available to earlier prompts. */
+const usableFraction = 0.8;
 
-/** Tokens at the beginning of a prompt that are kept: all, and those of parts that other requests share. */
+/** Cached tokens at the beginning of a prompt: all of them, and those in parts that other requests share. */
 export type KeptTokens = {all: number; shared: number};
 
-/** What an upstream is believed to keep of the prompts that it has read. The least recently used parts go first. */
+/** Model of an upstream's prompt cache, with eviction of the least recently used parts. */
 export type PromptCache = {
-	/** Adds the parts of a prompt that the upstream reads. */
+	/** Adds the parts of a prompt that the upstream prefills. */
 	add: (prompt: Pick<Prompt, 'model' | 'parts'>) => void;
-	/** Gets how many tokens at the beginning of the prompt are kept, and how many of these belong to shared parts. */
+	/** Returns how many tokens at the beginning of the prompt are cached, and how many of these belong to shared parts. */
 	getKept: (prompt: Prompt) => KeptTokens;
-	/** Tells whether the part is kept. */
+	/** Returns whether the part is cached. */
 	has: (model: string, part: string) => boolean;
 };
 
 const sumTokens = (parts: readonly PromptPart[]): number => parts.reduce((sum, {tokens}) => sum + tokens, 0);
 
-const getKey = (model: string, part: string): string => `${model}/${part}`;
+const getPartKey = (model: string, part: string): string => `${model}/${part}`;
 
-/** Keys of a prompt's parts, as each decision looks for them at all upstreams of a service. */
-const keysOfPrompts = new WeakMap<Prompt, string[]>();
+/** Keys of a prompt's parts, cached because each decision looks them up for all upstreams of a service. */
+const partKeyCache = new WeakMap<Prompt, string[]>();
 
-const getKeys = (prompt: Prompt): string[] => {
-	const known = keysOfPrompts.get(prompt);
-	if (known !== undefined) {
-		return known;
+const getPartKeys = (prompt: Prompt): string[] => {
+	const cached = partKeyCache.get(prompt);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	const keys = prompt.parts.map(({id}) => getKey(prompt.model, id));
-	keysOfPrompts.set(prompt, keys);
+	const keys = prompt.parts.map(({id}) => getPartKey(prompt.model, id));
+	partKeyCache.set(prompt, keys);
 	return keys;
 };
 
-/** Creates the belief about an upstream with memory for `capacity` tokens. */
-export const createPromptCache = (capacity: number): PromptCache => {
-	const kept = new Map<string, number>();
-	const limit = capacity * usableShare;
-	let total = 0;
+/** Creates the model of an empty cache for `capacityTokens` tokens. */
+export const createPromptCache = (capacityTokens: number): PromptCache => {
+	const cachedParts = new Map<string, number>();
+	const maxTokens = capacityTokens * usableFraction;
+	let totalTokens = 0;
 
-	const drop = (key: string): void => {
-		total -= kept.get(key) ?? 0;
-		kept.delete(key);
+	const remove = (key: string): void => {
+		totalTokens -= cachedParts.get(key) ?? 0;
+		cachedParts.delete(key);
 	};
 
-	const dropOldest = (): void => {
-		for (const key of kept.keys()) {
-			if (total <= limit) {
+	const evictOldest = (): void => {
+		for (const key of cachedParts.keys()) {
+			if (totalTokens <= maxTokens) {
 				return;
 			}
 
-			drop(key);
+			remove(key);
 		}
 	};
 
 	const addPart = (model: string, {id, tokens}: PromptPart): void => {
-		const key = getKey(model, id);
-		drop(key);
-		kept.set(key, tokens);
-		total += tokens;
+		const key = getPartKey(model, id);
+		remove(key);
+		cachedParts.set(key, tokens);
+		totalTokens += tokens;
 	};
 
 	return {
 		add({model, parts}) {
-			// The last part is added first, as a part is of no use without those before it.
+			// In reverse order, so that later parts are evicted first: a part is useless without those before it.
 			for (const part of parts.toReversed()) {
 				addPart(model, part);
 			}
 
-			dropOldest();
+			evictOldest();
 		},
 		getKept(prompt) {
 			const {parts} = prompt;
-			const missing = getKeys(prompt).findIndex(key => !kept.has(key));
-			const leading = missing === -1 ? parts : parts.slice(0, missing);
+			const firstMissing = getPartKeys(prompt).findIndex(key => !cachedParts.has(key));
+			const leading = firstMissing === -1 ? parts : parts.slice(0, firstMissing);
 			return {all: sumTokens(leading), shared: sumTokens(leading.slice(0, parts.length - 1))};
 		},
-		has: (model, part) => kept.has(getKey(model, part)),
+		has: (model, part) => cachedParts.has(getPartKey(model, part)),
 	};
 };
--- a/packages/routing/src/prompt.ts
+++ b/packages/routing/src/prompt.ts
@@ -1,13 +1,13 @@
-/** A part of a prompt, shared with other requests or not. */
+/** A part of a prompt, such as a document, that other requests may share. */
 export type PromptPart = {id: string; tokens: number};
 
-/** What a request says of its prompt. */
+/** Description of a prompt that a request carries. */
 export type Prompt = {
 	model: string;
-	/** Parts in order; the last belongs to the request or its session alone. */
+	/** Parts in order; the last one is specific to the request or its session. */
 	parts: readonly PromptPart[];
-	/** Tokens of the whole prompt. */
+	/** Total tokens of the prompt. */
 	inputTokens: number;
-	/** Most tokens that may be generated. */
+	/** Maximum number of tokens to generate. */
 	outputTokens: number;
 };
--- /dev/null
+++ b/packages/routing/src/queue-order.ts
@@ -0,0 +1,39 @@
+import type {Milliseconds, Rank} from '@gentianlift/types';
+import type {Route} from './configuration.js';
+
+/** A request that is queued until an upstream can take it. */
+export type QueuedRequest = {
+	rank: Rank;
+	/** When the target for its first token is missed. */
+	dueAt: Milliseconds;
+	/** Whether the target for its first token has been missed. */
+	isLate: boolean;
+};
+
+/** Maximum backlog as a fraction of the shortest target of the higher ranks. */
+const maxBacklogFraction = 0.3;
+
+/**
+ * Compares queued requests: by rank, then those that can still meet their target before late ones, then by due time.
+ * Late requests come last within their rank, as further waiting costs them no more.
+ */
+export const compareWaiting = (one: QueuedRequest, other: QueuedRequest): number => {
+	if (one.rank !== other.rank) {
+		return one.rank - other.rank;
+	}
+
+	if (one.isLate !== other.isLate) {
+		return one.isLate ? 1 : -1;
+	}
+
+	return one.dueAt - other.dueAt;
+};
+
+/**
+ * Returns the maximum backlog at which an upstream may receive a request of the rank. Upstreams prefill prompts in
+ * order of arrival, so a request that is sent too early delays later ones of higher ranks.
+ */
+export const getBacklogLimit = (routes: readonly Route[], service: string, rank: Rank): Milliseconds => {
+	const higherRanked = routes.filter(route => route.rank < rank && route.destinations.some(destination => destination.service === service));
+	return maxBacklogFraction * Math.min(...higherRanked.map(({target}) => target));
+};
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,47 +1,47 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** The bound on requests that are sent to a second upstream, over all hosts together. */
+/** Limit on the retries of all hosts together within a sliding window. */
 export type RetryBound = {
-	/** Extra sends for each request. */
+	/** Retries that each request adds to the budget. */
 	ratio: number;
-	/** Extra sends that are always allowed in a window. */
+	/** Retries that are allowed in a window whatever the number of requests. */
 	minimum: number;
 	window: Milliseconds;
 };
 
-/** Sends of one host that count against its part of the bound. */
+/** The part of the limit that one host may use. */
 export type RetryBudget = {
-	/** Counts a request that came in. */
+	/** Records the arrival of a request. */
 	addRequest: (now: Milliseconds) => void;
-	/** Takes one extra send; false if none is left for now. `hosts` is the number of hosts that share the bound. */
-	take: (now: Milliseconds, hosts: number) => boolean;
+	/** Takes one retry from the budget; returns false if none is left. `hostCount` hosts share the limit. */
+	take: (now: Milliseconds, hostCount: number) => boolean;
 };
 
-/** Share of the bound that is used, as hosts see the number of hosts change at different times. */
-const usedShare = 0.75;
-/** Parts of a window that are counted apart. */
-const slices = 10;
+/** Fraction of the limit that hosts use, as they notice a change of the number of hosts at different times. */
+const usableFraction = 0.75;
+/** Number of slices into which a window is divided for counting. */
+const slicesPerWindow = 10;
 
-type Slice = {start: Milliseconds; requests: number; extra: number};
+type Slice = {start: Milliseconds; requests: number; retries: number};
 
-/** Creates the budget of one service at one host. A later change of the bound counts from the next request. */
-export const createRetryBudget = (bound: Readonly<RetryBound>): RetryBudget => {
-	const counted: Slice[] = [];
+/** Creates one host's budget for a service. Later changes of `limit` take effect at the next call. */
+export const createRetryBudget = (limit: Readonly<RetryBound>): RetryBudget => {
+	const slices: Slice[] = [];
 
 	const getSlice = (now: Milliseconds): Slice => {
-		const {window} = bound;
-		const width = window / slices;
-		while (counted.length > 0 && (counted[0]?.start ?? 0) <= now - window - width) {
-			counted.shift();
+		const {window} = limit;
+		const sliceDuration = window / slicesPerWindow;
+		while (slices.length > 0 && (slices[0]?.start ?? 0) <= now - window - sliceDuration) {
+			slices.shift();
 		}
 
-		const last = counted.at(-1);
-		if (last !== undefined && now < last.start + width) {
+		const last = slices.at(-1);
+		if (last !== undefined && now < last.start + sliceDuration) {
 			return last;
 		}
 
-		const slice = {start: now, requests: 0, extra: 0};
-		counted.push(slice);
+		const slice = {start: now, requests: 0, retries: 0};
+		slices.push(slice);
 		return slice;
 	};
 
@@ -49,16 +49,16 @@
 		addRequest(now) {
 			getSlice(now).requests += 1;
 		},
-		take(now, hosts) {
+		take(now, hostCount) {
 			const slice = getSlice(now);
-			const requests = counted.reduce((sum, item) => sum + item.requests, 0);
-			const extra = counted.reduce((sum, item) => sum + item.extra, 0);
-			const allowed = usedShare * ((bound.ratio * requests) + (bound.minimum / Math.max(1, hosts)));
-			if (extra + 1 > allowed) {
+			const requests = slices.reduce((sum, item) => sum + item.requests, 0);
+			const retries = slices.reduce((sum, item) => sum + item.retries, 0);
+			const allowed = usableFraction * ((limit.ratio * requests) + (limit.minimum / Math.max(1, hostCount)));
+			if (retries + 1 > allowed) {
 				return false;
 			}
 
-			slice.extra += 1;
+			slice.retries += 1;
 			return true;
 		},
 	};
--- /dev/null
+++ b/packages/routing/src/retry.test.ts
@@ -0,0 +1,89 @@
+import {expect, test} from 'vitest';
+import {isRepeatable} from './configuration.js';
+import {createCrashSuspects} from './crash-suspects.js';
+import {addResult, createFailureRate, getFailureShare} from './failure-rate.js';
+import {decideResend, maxAttempts, type FailedAttempt} from './retry.js';
+import {createRetryBudget} from './retry-budget.js';
+import {buildRoute} from './testing.js';
+
+const attempt: FailedAttempt = {
+	isNotRun: false, isRepeatable: true, upstreamsRun: 1, mostUpstreams: 2, sends: 1, timeLeft: 500,
+};
+
+test('only idempotent requests and resumable streams are retryable', () => {
+	expect(isRepeatable(buildRoute({kind: 'idempotent'}))).toBe(true);
+	expect(isRepeatable(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
+	expect(isRepeatable(buildRoute({kind: 'streaming'}))).toBe(false);
+	expect(isRepeatable(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
+});
+
+test('a request that may have executed is not retried unless it is retryable', () => {
+	expect(decideResend({...attempt, isRepeatable: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
+	expect(decideResend({...attempt, isRepeatable: false, isNotRun: true})).toEqual({kind: 'resend'});
+	expect(decideResend(attempt)).toEqual({kind: 'resend'});
+});
+
+test('a request executes on no more upstreams than its route allows', () => {
+	expect(decideResend({...attempt, upstreamsRun: 2})).toEqual({kind: 'stop', reason: 'upstreams'});
+	expect(decideResend({...attempt, upstreamsRun: 2, isNotRun: true})).toEqual({kind: 'resend'});
+});
+
+test('attempts stop at their maximum number and when the remaining time is too short', () => {
+	expect(decideResend({...attempt, isNotRun: true, sends: maxAttempts})).toEqual({kind: 'stop', reason: 'sends'});
+	expect(decideResend({...attempt, timeLeft: 5})).toEqual({kind: 'stop', reason: 'deadline'});
+});
+
+test('all hosts together stay within the retry limit in each window', () => {
+	const limit = {ratio: 0.2, minimum: 54, window: 10_000};
+	const budgets = Array.from({length: 7}, () => createRetryBudget(limit));
+	let retries: number[] = [];
+	let requests: number[] = [];
+	for (let now = 0; now < 40_000; now += 100) {
+		for (const budget of budgets) {
+			budget.addRequest(now);
+			requests.push(now);
+			while (budget.take(now, budgets.length)) {
+				retries.push(now);
+			}
+		}
+
+		retries = retries.filter(time => time > now - limit.window);
+		requests = requests.filter(time => time > now - limit.window);
+		expect(retries.length).toBeLessThanOrEqual((limit.ratio * requests.length) + limit.minimum);
+	}
+});
+
+test('a change of the retry limit takes effect at the next retry', () => {
+	const limit = {ratio: 0, minimum: 0, window: 10_000};
+	const budget = createRetryBudget(limit);
+	budget.addRequest(0);
+	expect(budget.take(1, 1)).toBe(false);
+	limit.minimum = 4;
+	expect(budget.take(2, 1)).toBe(true);
+});
+
+test('a request is blocked after crashes of three different upstreams', () => {
+	const suspects = createCrashSuspects();
+	expect(suspects.isEmpty()).toBe(true);
+	expect(suspects.add({fingerprint: 'f', upstream: 'a'}, 0)).toBe(true);
+	expect(suspects.add({fingerprint: 'f', upstream: 'a'}, 0)).toBe(false);
+	suspects.add({fingerprint: 'f', upstream: 'b'}, 0);
+	expect(suspects.isBlocked('f', 1)).toBe(false);
+	suspects.add({fingerprint: 'f', upstream: 'c'}, 0);
+	expect(suspects.isBlocked('f', 1)).toBe(true);
+	expect(suspects.isBlocked('g', 1)).toBe(false);
+	suspects.clear('f');
+	expect(suspects.isBlocked('f', 1)).toBe(false);
+});
+
+test('failures lose weight with time, and a single one does not dominate', () => {
+	let rate = createFailureRate(0);
+	for (let index = 0; index < 20; index++) {
+		rate = addResult(rate, true, 0);
+	}
+
+	const recentRatio = getFailureShare(rate, 0);
+	expect(recentRatio).toBeGreaterThan(0.8);
+	expect(getFailureShare(rate, 30_000)).toBeLessThan(recentRatio / 10);
+	expect(getFailureShare(addResult(createFailureRate(0), true, 0), 0)).toBeLessThan(0.3);
+});
--- /dev/null
+++ b/packages/routing/src/retry.ts
@@ -0,0 +1,45 @@
+import type {Milliseconds} from '@gentianlift/types';
+
+/** How an attempt on an upstream failed, and what limits another one. */
+export type FailedAttempt = {
+	/** Whether the upstream is known not to have executed the request. */
+	isNotRun: boolean;
+	/** Whether the request may execute more than once. */
+	isRepeatable: boolean;
+	/** Number of upstreams that may have executed the request so far, including this one. */
+	upstreamsRun: number;
+	/** Maximum number of upstreams that may execute the request. */
+	mostUpstreams: number;
+	/** Number of attempts so far. */
+	sends: number;
+	/** Time until the request's timeout. */
+	timeLeft: Milliseconds;
+};
+
+/** Whether to retry on another upstream; if not, the reason, which is also counted in metrics. */
+export type RetryDecision
+	= | {kind: 'resend'}
+		| {kind: 'stop'; reason: 'may-have-run' | 'upstreams' | 'sends' | 'deadline'};
+
+/** Maximum number of attempts of one request, including rejected ones. */
+export const maxAttempts = 4;
+
+/** Remaining time below which a retry isn't worthwhile. */
+const minRemainingTime: Milliseconds = 20;
+
+/** Decides whether a failed request may be retried on another upstream. Callers check the retry budget afterwards, as checking it takes from it. */
+export const decideResend = (attempt: FailedAttempt): RetryDecision => {
+	if (!attempt.isNotRun && !attempt.isRepeatable) {
+		return {kind: 'stop', reason: 'may-have-run'};
+	}
+
+	if (!attempt.isNotRun && attempt.upstreamsRun >= attempt.mostUpstreams) {
+		return {kind: 'stop', reason: 'upstreams'};
+	}
+
+	if (attempt.sends >= maxAttempts) {
+		return {kind: 'stop', reason: 'sends'};
+	}
+
+	return attempt.timeLeft < minRemainingTime ? {kind: 'stop', reason: 'deadline'} : {kind: 'resend'};
+};
--- a/packages/routing/src/route-table.test.ts
+++ b/packages/routing/src/route-table.test.ts
@@ -14,22 +14,22 @@
 	customers: [{name: 'c', keys: ['k1', 'k2'], rank: 3}],
 }));
 
-test('the longest prefix wins', () => {
+test('the longest matching prefix wins', () => {
 	expect(findRoute(table, 'a.example', '/a/b/c?x=/')?.name).toBe('long');
 	expect(findRoute(table, 'a.example', '/a/x')?.name).toBe('short');
 });
 
-test('a prefix ends at its slash', () => {
+test('a prefix matches up to its final slash, and only the path', () => {
 	expect(findRoute(table, 'a.example', '/ab')).toBeUndefined();
 	expect(findRoute(table, 'a.example', '/x?/a/')).toBeUndefined();
 });
 
-test('the host name counts without its port and case', () => {
+test('host names match without port and regardless of case', () => {
 	expect(findRoute(table, getHostname('B.Example:80'), '/a/')?.name).toBe('other');
 	expect(findRoute(table, 'c.example', '/a/')).toBeUndefined();
 });
 
-test('keys name their customer, and an unknown one nobody', () => {
+test('a key identifies its customer; unknown and missing keys identify nobody', () => {
 	const route = buildRoute();
 	expect(findCaller(table, route, 'k2')).toMatchObject({kind: 'customer', customer: {name: 'c'}});
 	expect(findCaller(table, route, 'k3')).toEqual({kind: 'unknown'});
@@ -41,16 +41,16 @@
 	expect(findCaller(buildRouteTable(buildConfiguration()), buildRoute(), 'k')).toEqual({kind: 'anonymous'});
 });
 
-test('destinations are drawn by weight', () => {
+test('destinations are chosen in proportion to their weight', () => {
 	const random = createRandom(1);
 	const destinations = [{service: 'x', weight: 90}, {service: 'y', weight: 10}, {service: 'z', weight: 0}];
-	const drawn = Array.from({length: 1000}, () => drawDestination(destinations, random)?.service);
-	const share = drawn.filter(service => service === 'y').length / drawn.length;
-	expect(share).toBeGreaterThan(0.07);
-	expect(share).toBeLessThan(0.13);
-	expect(drawn).not.toContain('z');
+	const picked = Array.from({length: 1000}, () => drawDestination(destinations, random)?.service);
+	const ratio = picked.filter(service => service === 'y').length / picked.length;
+	expect(ratio).toBeGreaterThan(0.07);
+	expect(ratio).toBeLessThan(0.13);
+	expect(picked).not.toContain('z');
 });
 
-test('nothing is drawn without a weight', () => {
+test('no destination is chosen if no weight is above 0', () => {
 	expect(drawDestination([{service: 'x', weight: 0}], createRandom(1))).toBeUndefined();
 });
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -3,16 +3,19 @@
 	Destination, KeyHolder, Route, RoutingConfiguration, Service,
 } from './configuration.js';
 
-/** A configuration indexed for look-ups. */
+/** A configuration with indexes for lookups. */
 export type RouteTable = {
 	configuration: RoutingConfiguration;
+	/** Routes by host name, those with the longest path prefix first. */
 	routes: ReadonlyMap<string, readonly Route[]>;
+	/** Customers by API key. */
 	customers: ReadonlyMap<string, KeyHolder>;
+	/** Services by name. */
 	services: ReadonlyMap<string, Service>;
 };
 
-/** Who sent a request, as far as its route asks. */
-export type CallerStanding = {kind: 'anonymous'} | {kind: 'customer'; customer: KeyHolder} | {kind: 'unknown'};
+/** Sender of a request; `unknown` if the route requires an API key and the request has no valid one. */
+export type CallerIdentity = {kind: 'anonymous'} | {kind: 'customer'; customer: KeyHolder} | {kind: 'unknown'};
 
 const groupRoutes = (routes: readonly Route[]): Map<string, Route[]> => {
 	const groups = new Map<string, Route[]>();
@@ -30,28 +33,28 @@
 	return groups;
 };
 
-/** Indexes a configuration. */
+/** Builds the indexes of a configuration. */
 export const buildRouteTable = (configuration: RoutingConfiguration): RouteTable => {
-	const holders = (configuration.customers ?? []).flatMap(customer => customer.keys.map(key => [key, customer] as const));
+	const customersByKey = (configuration.customers ?? []).flatMap(customer => customer.keys.map(key => [key, customer] as const));
 	return {
 		configuration,
 		routes: groupRoutes(configuration.routes),
-		customers: new Map(holders),
+		customers: new Map(customersByKey),
 		services: new Map(configuration.services.map(service => [service.name, service])),
 	};
 };
 
-/** Gets the host name of a `Host` header, without its port. */
+/** Returns the host name of a `Host` header in lower case, without its port. */
 export const getHostname = (header: string): string => header.replace(/:\d+$/v, '').toLowerCase();
 
-/** Finds the route with the longest prefix of the path; the query doesn't count. */
+/** Finds the route whose prefix is the longest match of the path; the query string is ignored. */
 export const findRoute = (table: RouteTable, hostname: string, target: string): Route | undefined => {
 	const [path = ''] = target.split('?', 1);
 	return table.routes.get(hostname)?.find(route => path.startsWith(route.pathPrefix));
 };
 
-/** Finds who holds a key, where the route asks for one. */
-export const findCaller = (table: RouteTable, route: Route, key: string | undefined): CallerStanding => {
+/** Identifies the sender of a request by its API key. */
+export const findCaller = (table: RouteTable, route: Route, key: string | undefined): CallerIdentity => {
 	const customer = key === undefined ? undefined : table.customers.get(key);
 	if (customer !== undefined) {
 		return {kind: 'customer', customer};
@@ -61,13 +64,13 @@
 	return {kind: needsKey ? 'unknown' : 'anonymous'};
 };
 
-/** Draws one of the destinations by weight; undefined if none has a weight above 0. */
+/** Chooses a destination at random in proportion to the weights; undefined if no weight is above 0. */
 export const drawDestination = (destinations: readonly Destination[], random: Random): Destination | undefined => {
-	const total = destinations.reduce((sum, {weight}) => sum + weight, 0);
-	let left = random.next() * total;
+	const totalWeight = destinations.reduce((sum, {weight}) => sum + weight, 0);
+	let remainingWeight = random.next() * totalWeight;
 	for (const destination of destinations) {
-		left -= destination.weight;
-		if (left < 0) {
+		remainingWeight -= destination.weight;
+		if (remainingWeight < 0) {
 			return destination;
 		}
 	}
--- a/packages/routing/src/testing.ts
+++ b/packages/routing/src/testing.ts
@@ -2,7 +2,7 @@
 import type {Route, RoutingConfiguration} from './configuration.js';
 import type {Upstream} from './upstream.js';
 
-/** A route for tests. */
+/** Builds a route for tests. */
 export const buildRoute = (changes: Partial<Route> = {}): Route => ({
 	name: 'r',
 	hostname: 'a.example',
@@ -19,7 +19,7 @@
 	...changes,
 });
 
-/** A configuration for tests. */
+/** Builds a configuration for tests. */
 export const buildConfiguration = (changes: Partial<RoutingConfiguration> = {}): RoutingConfiguration => ({
 	version: 1,
 	routes: [buildRoute()],
@@ -30,17 +30,17 @@
 	...changes,
 });
 
-/** An upstream for tests. */
+/** Builds an upstream for tests. */
 export const buildUpstream = (changes: Partial<Upstream> = {}): Upstream => ({
 	id: 'u1', service: 's', address: '127.0.0.1:1', zone: 'a', isLeaving: false, slots: 8, startedAt: 1, ...changes,
 });
 
-/** A load for tests. */
+/** Builds an upstream's load for tests. */
 export const buildLoad = (changes: Partial<UpstreamLoad> = {}): UpstreamLoad => ({
 	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0, progressAt: 0, ...changes,
 });
 
-/** A candidate for tests. */
+/** Builds a candidate for tests. */
 export const buildCandidate = (changes: Partial<Candidate> = {}): Candidate => ({
 	upstream: buildUpstream(),
 	load: buildLoad(),
