--- a/packages/policy/src/choose.ts
+++ b/packages/policy/src/choose.ts
@@ -2,41 +2,45 @@
 import type {Ticket, UpstreamId, Zone} from '@gentianlift/types';
 import {type GroupUpstream, hasNeeds} from './groups.js';
 
-/** An upstream with what is known of its state. */
+/** An upstream that may receive a ticket, with the state that determines its cost. */
 export type Candidate = {
 	upstream: GroupUpstream;
-	/** Whether it takes new work. */
+	/** Whether it accepts new requests. */
 	available: boolean;
-	/** Requests there, see `getLoad`. */
+	/** Requests in flight, see `getLoad`. */
 	load: number;
-	/** Requests that it may have at once now. */
+	/** Number of requests that may currently run on it at once. */
 	slots: number;
-	/** Speed against the median of its peers; 1 is the same, 0.5 is half as fast. */
+	/** Speed in relation to the median of the group; 1 is the median, 0.5 is half as fast. */
 	relativeSpeed: number;
-	/** Digests of prefixes that it is taken to hold. */
+	/** Digests of prompt prefixes that it is assumed to have cached. */
 	prefixes: Pick<ReadonlySet<string>, 'has'>;
-	/** Whether an isolated request runs there. */
+	/** Whether it runs an isolated request, one suspected of crashing upstreams. */
 	hasSuspect: boolean;
 };
 
-/** Switches of the choice. */
+/** Options of `chooseUpstream`. */
 export type ChoiceOptions = {
+	/** Availability zone of the host that sends the request; undefined disregards zones. */
 	zone?: Zone;
+	/** Whether cached prefixes reduce the cost. */
 	usePrefix: boolean;
+	/** Whether stragglers are avoided. */
 	useSpeed: boolean;
-	/** Candidates drawn at random before the best is taken; all if undefined. */
+	/** Size of the random sample from which the best candidate is chosen; all candidates if undefined. Those with a cached prefix are always included. */
 	drawn?: number;
 };
 
-/** Below this relative speed an upstream is a straggler. */
+/** Relative speed below which an upstream is a straggler. */
 export const stragglerSpeed = 0.5;
 
-const prefixWeight = 0.5;
-const stragglerWeight = 1;
-const zoneWeight = 0.05;
-const prefillRoleWeight = 2;
+// Costs as fractions of an upstream's slots.
+const cachedPrefixDiscount = 0.5;
+const stragglerPenalty = 1;
+const crossZonePenalty = 0.05;
+const prefillRolePenalty = 2;
 
-/** Gets the upstreams with a free slot that may run the ticket. */
+/** Returns the candidates with a free slot that may run the ticket. */
 export const getFitting = (candidates: readonly Candidate[], ticket: Ticket): Candidate[] => candidates.filter(candidate =>
 	candidate.available
 	&& candidate.load < candidate.slots
@@ -44,13 +48,13 @@
 	&& !ticket.avoid.includes(candidate.upstream.id)
 	&& !(ticket.isolated && candidate.hasSuspect));
 
-/** Chooses an upstream for a ticket; undefined when none has a free slot. */
+/** Chooses the upstream with the lowest cost for a ticket, ties broken at random; undefined if no eligible one has a free slot. */
 export const chooseUpstream = (candidates: readonly Candidate[], ticket: Ticket, random: Random, options: ChoiceOptions): UpstreamId | undefined => {
-	const fitting = getFitting(candidates, ticket);
-	const drawn = options.drawn === undefined ? fitting : getDrawn(fitting, ticket, random, options.drawn);
+	const eligible = getFitting(candidates, ticket);
+	const sample = options.drawn === undefined ? eligible : getSample(eligible, ticket, random, options.drawn);
 	let best: Candidate | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
-	for (const candidate of drawn) {
+	for (const candidate of sample) {
 		const cost = getCost(candidate, ticket, options) + (random.next() / 1000);
 		if (cost < bestCost) {
 			best = candidate;
@@ -61,29 +65,29 @@
 	return best?.upstream.id;
 };
 
-/** Gets the cost of a candidate, in shares of its slots; the least is chosen. */
+/** Returns the cost of a candidate as a fraction of its slots. */
 export const getCost = (candidate: Candidate, ticket: Ticket, options: ChoiceOptions): number => {
 	const {upstream} = candidate;
 	const load = candidate.load / Math.max(1, candidate.slots);
-	const prefix = options.usePrefix ? prefixWeight * getHeldShare(candidate, ticket) : 0;
+	const discount = options.usePrefix ? cachedPrefixDiscount * getCachedFraction(candidate, ticket) : 0;
 	const isStraggler = options.useSpeed && candidate.relativeSpeed < stragglerSpeed;
-	const straggler = isStraggler ? stragglerWeight : 0;
-	const zone = options.zone !== undefined && options.zone !== upstream.zone ? zoneWeight : 0;
-	const role = upstream.role === 'prefill' ? prefillRoleWeight : 0;
-	return load - prefix + straggler + zone + role;
+	const speedPenalty = isStraggler ? stragglerPenalty : 0;
+	const zonePenalty = options.zone !== undefined && options.zone !== upstream.zone ? crossZonePenalty : 0;
+	const rolePenalty = upstream.role === 'prefill' ? prefillRolePenalty : 0;
+	return load - discount + speedPenalty + zonePenalty + rolePenalty;
 };
 
-/** Gets the part of the ticket's prefix that the candidate is taken to hold, from 0 to 1. */
-export const getHeldShare = (candidate: Candidate, ticket: Ticket): number => {
-	const longest = ticket.prefix.findLastIndex(digest => candidate.prefixes.has(digest));
-	return ticket.prefix.length === 0 ? 0 : (longest + 1) / ticket.prefix.length;
+/** Returns the fraction of the ticket's prefix that the candidate is assumed to have cached, from 0 to 1. */
+export const getCachedFraction = (candidate: Candidate, ticket: Ticket): number => {
+	const longestCached = ticket.prefix.findLastIndex(digest => candidate.prefixes.has(digest));
+	return ticket.prefix.length === 0 ? 0 : (longestCached + 1) / ticket.prefix.length;
 };
 
-const getDrawn = (fitting: readonly Candidate[], ticket: Ticket, random: Random, drawn: number): Candidate[] => {
-	const pool = [...fitting];
-	const chosen = pool.filter(candidate => getHeldShare(candidate, ticket) > 0);
-	while (chosen.length < drawn && pool.length > 0) {
-		chosen.push(...pool.splice(random.below(pool.length), 1));
+const getSample = (eligible: readonly Candidate[], ticket: Ticket, random: Random, size: number): Candidate[] => {
+	const remaining = [...eligible];
+	const chosen = remaining.filter(candidate => getCachedFraction(candidate, ticket) > 0);
+	while (chosen.length < size && remaining.length > 0) {
+		chosen.push(...remaining.splice(random.below(remaining.length), 1));
 	}
 
 	return chosen;
--- a/packages/policy/src/classify.ts
+++ b/packages/policy/src/classify.ts
@@ -3,55 +3,55 @@
 } from '@gentianlift/types';
 import {getDeadline, getTargetsAt} from './targets.js';
 
-/** What is known of a request once its customer is authenticated and its body is read. */
-export type Facts = {
+/** A request whose customer is authenticated and whose body has been read. */
+export type IncomingRequest = {
 	id: RequestId;
 	customer: Customer;
 	arrivedAt: Milliseconds;
 	method: string;
 	path: string;
 	work: Work;
-	/** Class that the caller named. */
+	/** Class that the caller requested. */
 	declaredClass?: ClassName;
 	idempotencyKey?: string;
-	/** Digest of method, path and body, in lower-case hex. */
+	/** Digest of method, path and body in lower-case hexadecimal. */
 	digest: string;
-	/** See `getFingerprint`. */
+	/** Fingerprint of the prompt, see `getFingerprint`. */
 	fingerprint: string;
 };
 
-/** A request's class and targets, or the error kind for the caller. */
+/** A request with its class and targets, or the kind of error for the caller. */
 export type Classification
 	= | {kind: 'classified'; request: ClassifiedRequest}
 		| {kind: 'refused'; error: 'unknown-class' | 'class-not-allowed' | 'unknown-model' | 'unknown-service' | 'key-missing'; detail?: string};
 
-/** Gets the class, tier, targets and deadline of a request. */
-export const classifyRequest = (configuration: Configuration, facts: Facts): Classification => {
-	const unknown = getUnknownWork(configuration, facts.work);
-	if (unknown !== undefined) {
-		return {kind: 'refused', error: unknown};
+/** Determines the class, tier, targets and deadline of a request. */
+export const classifyRequest = (configuration: Configuration, incoming: IncomingRequest): Classification => {
+	const workError = getWorkError(configuration, incoming.work);
+	if (workError !== undefined) {
+		return {kind: 'refused', error: workError};
 	}
 
-	const {declaredClass} = facts;
-	const classes = configuration.rules.classes.filter(item => declaredClass === undefined || item.name === declaredClass);
-	if (classes.length === 0) {
+	const {declaredClass} = incoming;
+	const candidateClasses = configuration.rules.classes.filter(item => declaredClass === undefined || item.name === declaredClass);
+	if (candidateClasses.length === 0) {
 		return {kind: 'refused', error: 'unknown-class'};
 	}
 
-	const allowed = getAllowed(classes, facts);
-	const found = allowed.find(item => isMatch(item, facts));
-	if (found === undefined) {
+	const allowedClasses = getAllowedClasses(candidateClasses, incoming);
+	const requestClass = allowedClasses.find(item => isMatch(item, incoming));
+	if (requestClass === undefined) {
 		return {kind: 'refused', error: 'class-not-allowed'};
 	}
 
-	if (!found.idempotent && facts.idempotencyKey === undefined) {
+	if (!requestClass.idempotent && incoming.idempotencyKey === undefined) {
 		return {kind: 'refused', error: 'key-missing'};
 	}
 
-	return {kind: 'classified', request: getClassified(configuration, found, facts)};
+	return {kind: 'classified', request: buildClassifiedRequest(configuration, requestClass, incoming)};
 };
 
-const getUnknownWork = ({inventory}: Configuration, work: Work): 'unknown-model' | 'unknown-service' | undefined => {
+const getWorkError = ({inventory}: Configuration, work: Work): 'unknown-model' | 'unknown-service' | undefined => {
 	switch (work.kind) {
 		case 'generation': {
 			const isKnown = inventory.models.some(model => model.name === work.model);
@@ -65,38 +65,38 @@
 	}
 };
 
-const getAllowed = (classes: readonly RequestClass[], {customer}: Facts): RequestClass[] =>
+const getAllowedClasses = (classes: readonly RequestClass[], {customer}: IncomingRequest): RequestClass[] =>
 	customer.classes.flatMap(name => classes.filter(item => item.name === name));
 
-const isMatch = ({match}: RequestClass, {work, method, path}: Facts): boolean => {
-	const isModel = match.models === undefined
+const isMatch = ({match}: RequestClass, {work, method, path}: IncomingRequest): boolean => {
+	const isModelMatch = match.models === undefined
 		|| (work.kind === 'generation' && (match.models.includes(work.model) || match.models.includes(work.adapter ?? '')));
-	const isService = match.service === undefined || (work.kind === 'call' && match.service === work.service);
-	const isMethod = match.method === undefined || match.method.toUpperCase() === method.toUpperCase();
-	const isPath = match.pathPrefix === undefined || path.startsWith(match.pathPrefix);
-	return isModel && isService && isMethod && isPath;
+	const isServiceMatch = match.service === undefined || (work.kind === 'call' && match.service === work.service);
+	const isMethodMatch = match.method === undefined || match.method.toUpperCase() === method.toUpperCase();
+	const isPathMatch = match.pathPrefix === undefined || path.startsWith(match.pathPrefix);
+	return isModelMatch && isServiceMatch && isMethodMatch && isPathMatch;
 };
 
-const getClassified = ({rules}: Configuration, found: RequestClass, facts: Facts): ClassifiedRequest => {
-	const targets = getTargetsAt(found, facts.customer, facts.arrivedAt);
+const buildClassifiedRequest = ({rules}: Configuration, requestClass: RequestClass, incoming: IncomingRequest): ClassifiedRequest => {
+	const targets = getTargetsAt(requestClass, incoming.customer, incoming.arrivedAt);
 	const request: ClassifiedRequest = {
-		id: facts.id,
-		customer: facts.customer.id,
-		weight: facts.customer.weight,
-		className: found.name,
-		tier: found.tier,
-		rank: rules.tiers.findIndex(tier => tier.name === found.tier),
-		idempotent: found.idempotent,
-		arrivedAt: facts.arrivedAt,
+		id: incoming.id,
+		customer: incoming.customer.id,
+		weight: incoming.customer.weight,
+		className: requestClass.name,
+		tier: requestClass.tier,
+		rank: rules.tiers.findIndex(tier => tier.name === requestClass.tier),
+		idempotent: requestClass.idempotent,
+		arrivedAt: incoming.arrivedAt,
 		targets,
-		deadline: getDeadline(targets, facts.work, facts.arrivedAt),
-		expectedTokens: found.expectedTokens,
-		work: facts.work,
-		digest: facts.digest,
-		fingerprint: facts.fingerprint,
+		deadline: getDeadline(targets, incoming.work, incoming.arrivedAt),
+		expectedTokens: requestClass.expectedTokens,
+		work: incoming.work,
+		digest: incoming.digest,
+		fingerprint: incoming.fingerprint,
 	};
-	if (facts.idempotencyKey !== undefined) {
-		request.idempotencyKey = facts.idempotencyKey;
+	if (incoming.idempotencyKey !== undefined) {
+		request.idempotencyKey = incoming.idempotencyKey;
 	}
 
 	return request;
--- a/packages/policy/src/digests.ts
+++ b/packages/policy/src/digests.ts
@@ -1,30 +1,32 @@
 import {createHash} from 'node:crypto';
 
-/** Characters of a prompt that one prefix digest covers beyond the digest before it. */
-export const chunkCharacters = 1024;
+/** Length of a chunk: each prefix digest covers one more chunk than the one before it. */
+export const charactersPerChunk = 1024;
 
-/** Most digests that are kept of one prompt. */
-export const longestPrefix = 8;
+/** Maximum number of prefix digests of a prompt. */
+export const maxPrefixDigests = 8;
 
-const prefixDigits = 10;
-const fingerprintDigits = 16;
+/** Hexadecimal digits of a prefix digest. */
+const prefixDigestLength = 10;
+/** Hexadecimal digits of a fingerprint. */
+const fingerprintLength = 16;
 
-const getHash = (text: string, digits: number): string => createHash('sha256').update(text).digest('hex').slice(0, digits);
+const hashText = (text: string, length: number): string => createHash('sha256').update(text).digest('hex').slice(0, length);
 
-/** Gets the digests of a prompt's prefixes, shortest first; the model is part of each. Only whole chunks count. */
+/** Returns the digests of a prompt's prefixes, the shortest first. Each digest includes the model; an incomplete last chunk is ignored. */
 export const getPrefixDigests = (model: string, prompt: string): string[] => {
 	const digests: string[] = [];
 	let previous = model;
-	for (let end = chunkCharacters; end <= prompt.length && digests.length < longestPrefix; end += chunkCharacters) {
-		previous = getHash(`${previous}\n${prompt.slice(end - chunkCharacters, end)}`, prefixDigits);
+	for (let end = charactersPerChunk; end <= prompt.length && digests.length < maxPrefixDigests; end += charactersPerChunk) {
+		previous = hashText(`${previous}\n${prompt.slice(end - charactersPerChunk, end)}`, prefixDigestLength);
 		digests.push(previous);
 	}
 
 	return digests;
 };
 
-/** Gets a digest that is the same for resends of a prompt that differ only in case or white space. */
+/** Returns a digest of a prompt that ignores case and white space, so that copies sent again by a caller have the same one. */
 export const getFingerprint = (model: string, prompt: string): string => {
 	const normalised = prompt.normalize('NFKC').toLowerCase().replaceAll(/\s+/gv, ' ').trim();
-	return getHash(`${model}\n${normalised}`, fingerprintDigits);
+	return hashText(`${model}\n${normalised}`, fingerprintLength);
 };
--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -1,21 +1,21 @@
 import type {LoadReport, Milliseconds} from '@gentianlift/types';
 
-/** Weight of the newest sample in a moving mean. */
-const newestWeight = 0.1;
+/** Minimum weight of the newest sample in the moving average. */
+const minSampleWeight = 0.1;
 
-/** Deviations above the mean that a cautious estimate adds. */
-const cautiousDeviations = 1.5;
+/** Number of mean deviations that an upper estimate adds to the mean. */
+const upperDeviations = 1.5;
 
-/** A moving mean with its mean deviation. */
+/** An exponential moving average with its mean deviation. */
 export type Estimate = {mean: number; deviation: number; samples: number};
 
-/** Creates an estimate that starts from an assumption. */
+/** Creates an estimate that starts from an assumed mean. */
 export const createEstimate = (mean: number): Estimate => ({mean, deviation: mean / 4, samples: 0});
 
-/** Applies a sample; the first ones count for more than the assumption. */
+/** Adds a sample; the first samples have a higher weight, so that they soon replace the assumed mean. */
 export const applySample = (estimate: Estimate, value: number): Estimate => {
 	const samples = estimate.samples + 1;
-	const weight = Math.max(newestWeight, 1 / (samples + 1));
+	const weight = Math.max(minSampleWeight, 1 / (samples + 1));
 	const error = value - estimate.mean;
 	return {
 		mean: estimate.mean + (weight * error),
@@ -24,56 +24,56 @@
 	};
 };
 
-/** Gets a value that most samples stay under. */
-export const getCautious = (estimate: Estimate): number => estimate.mean + (cautiousDeviations * estimate.deviation);
+/** Returns an upper estimate, below which most samples lie. */
+export const getCautious = (estimate: Estimate): number => estimate.mean + (upperDeviations * estimate.deviation);
 
-/** Speed of an engine. */
-export type Speed = {
-	/** Milliseconds for each prompt token. */
+/** Processing times of an engine. */
+export type EngineTimings = {
+	/** Milliseconds per prompt token. */
 	prefill: number;
-	/** Milliseconds for each output token. */
+	/** Milliseconds per output token. */
 	decode: number;
 };
 
-/** Gets the time that a request takes at an engine. */
-export const getServiceTime = (speed: Speed, promptTokens: number, outputTokens: number): Milliseconds =>
-	(speed.prefill * promptTokens) + (speed.decode * outputTokens);
+/** Returns the service time of a request on an engine. */
+export const getServiceTime = (timings: EngineTimings, promptTokens: number, outputTokens: number): Milliseconds =>
+	(timings.prefill * promptTokens) + (timings.decode * outputTokens);
 
-/** Queue before a request. */
-export type Queue = {
-	/** Service time of the waiting requests ahead, in slot-milliseconds. */
+/** State of the queue ahead of a request. */
+export type QueueState = {
+	/** Total service time of the queued requests ahead, in slot-milliseconds. */
 	ahead: Milliseconds;
-	/** Time till the first slot comes free; 0 when one is free. */
+	/** Time until the first slot becomes free; 0 if one is free. */
 	nextFree: Milliseconds;
 	slots: number;
-	/** Part of the slots that the request's tier can count on, above 0 and up to 1. */
+	/** Fraction of the slots that is available to the request's tier, above 0 and up to 1. */
 	share: number;
 };
 
-/** Gets the expected wait for a slot. */
-export const getWait = ({ahead, nextFree, slots, share}: Queue): Milliseconds =>
+/** Returns the expected waiting time for a slot. */
+export const getWait = ({ahead, nextFree, slots, share}: QueueState): Milliseconds =>
 	nextFree + (ahead / Math.max(1, slots * share));
 
-/** Gets the load of an upstream: what this owner has there now, and what others had there by the lagging report. */
+/** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
 export const getLoad = (outstanding: number, outstandingAtReport: number, report: LoadReport | undefined): number => {
-	const reported = report === undefined ? 0 : report.running + report.waiting;
-	return outstanding + Math.max(0, reported - outstandingAtReport);
+	const reportedRequests = report === undefined ? 0 : report.running + report.waiting;
+	return outstanding + Math.max(0, reportedRequests - outstandingAtReport);
 };
 
-/** What moving a prefix between engines takes. */
+/** Cost of transferring the KV cache of a prefix between engines, and of recomputing it. */
 export type CacheTransfer = {
 	prefixTokens: number;
 	bytesPerToken: number;
-	/** Rate between the engines, in bytes a millisecond. */
+	/** Transfer rate between the engines. */
 	bytesPerMillisecond: number;
-	/** Fixed time of export and import. */
+	/** Fixed time of an export and import. */
 	overhead: Milliseconds;
-	/** Milliseconds to compute a prompt token anew. */
-	prefill: number;
+	/** Milliseconds to recompute one prompt token. */
+	prefillPerToken: number;
 };
 
-/** Whether exporting and importing the KV cache of a prefix beats computing it anew. */
+/** Returns whether transferring the KV cache of a prefix is faster than recomputing it. */
 export const isTransferFaster = (transfer: CacheTransfer): boolean => {
-	const moved = transfer.overhead + (transfer.prefixTokens * transfer.bytesPerToken / transfer.bytesPerMillisecond);
-	return moved < transfer.prefixTokens * transfer.prefill;
+	const transferTime = transfer.overhead + (transfer.prefixTokens * transfer.bytesPerToken / transfer.bytesPerMillisecond);
+	return transferTime < transfer.prefixTokens * transfer.prefillPerToken;
 };
--- a/packages/policy/src/groups.ts
+++ b/packages/policy/src/groups.ts
@@ -2,34 +2,34 @@
 	Configuration, Engine, EngineRole, GroupId, ModelName, Service, UpstreamId, Work, Zone,
 } from '@gentianlift/types';
 
-/** Most upstreams whose work one owner orders. */
-export const groupSize = 8;
+/** Maximum number of upstreams in a group. */
+export const maxGroupSize = 8;
 
-/** An upstream as the decisions see it. */
+/** The properties of an upstream that scheduling depends on. */
 export type GroupUpstream = {
 	id: UpstreamId;
 	kind: 'engine' | 'service';
 	zone: Zone;
 	role: EngineRole;
-	/** Requests that the upstream runs at once. */
+	/** Number of requests that the upstream runs concurrently. */
 	slots: number;
-	/** Names of models, adapters or the service that the upstream may hold. */
+	/** Names of the models and adapters that the upstream may load, or of the service that it provides; see `getNeeds`. */
 	holds: ReadonlySet<string>;
 };
 
-/** Upstreams whose work one host orders. */
+/** Upstreams whose requests are scheduled by one host, the group's owner. */
 export type Group = {
 	id: GroupId;
 	upstreams: GroupUpstream[];
 };
 
-/** Gets the groups of a configuration; the same on every host with the same version. */
+/** Returns the groups of a configuration; all hosts with the same version get the same ones. */
 export const getGroups = (configuration: Configuration): Group[] => [
 	...getEngineGroups(configuration.inventory.engines),
 	...configuration.inventory.services.flatMap(service => getServiceGroups(service)),
 ];
 
-/** Gets the names of what an upstream must hold to run the work. */
+/** Returns the names of the model, adapter or service that an upstream must provide to run the work. */
 export const getNeeds = (work: Work): string[] => {
 	switch (work.kind) {
 		case 'generation': {
@@ -43,36 +43,36 @@
 	}
 };
 
-/** Gets the groups with at least one upstream that may hold all needs. */
+/** Returns the groups with at least one upstream that can provide all needs. */
 export const getGroupsFor = (groups: readonly Group[], needs: readonly string[]): Group[] =>
 	groups.filter(group => group.upstreams.some(upstream => hasNeeds(upstream, needs)));
 
-/** Whether an upstream may hold all needs. */
+/** Returns whether an upstream can provide all needs. */
 export const hasNeeds = (upstream: GroupUpstream, needs: readonly string[]): boolean =>
 	needs.every(need => upstream.holds.has(need));
 
-/** Name of a model among needs. */
+/** Returns the name of a model in a list of needs. */
 export const getModelNeed = (model: ModelName): string => `model:${model}`;
 
-/** Name of an adapter among needs. */
+/** Returns the name of an adapter in a list of needs. */
 export const getAdapterNeed = (adapter: ModelName): string => `adapter:${adapter}`;
 
-/** Name of a service among needs. */
+/** Returns the name of a service in a list of needs. */
 export const getServiceNeed = (service: string): string => `service:${service}`;
 
 const getEngineGroups = (engines: readonly Engine[]): Group[] => {
-	const byModels = new Map<string, Engine[]>();
+	const enginesByModels = new Map<string, Engine[]>();
 	for (const engine of engines) {
 		const models = engine.models.toSorted().join('+');
-		byModels.set(models, [...byModels.get(models) ?? [], engine]);
+		enginesByModels.set(models, [...enginesByModels.get(models) ?? [], engine]);
 	}
 
-	return [...byModels]
+	return [...enginesByModels]
 		.toSorted(([first], [second]) => compareText(first, second))
-		.flatMap(([models, members]) => getChunks(`engines:${models}`, members.map(engine => getEngineUpstream(engine))));
+		.flatMap(([models, members]) => splitIntoGroups(`engines:${models}`, members.map(engine => getEngineUpstream(engine))));
 };
 
-const getServiceGroups = (service: Service): Group[] => getChunks(`service:${service.name}`, service.instances.map(instance => ({
+const getServiceGroups = (service: Service): Group[] => splitIntoGroups(`service:${service.name}`, service.instances.map(instance => ({
 	id: instance.id,
 	kind: 'service',
 	zone: instance.zone,
@@ -90,12 +90,12 @@
 	holds: new Set([...engine.models.map(model => getModelNeed(model)), ...engine.adapters.map(adapter => getAdapterNeed(adapter))]),
 });
 
-const getChunks = (name: string, upstreams: readonly GroupUpstream[]): Group[] => {
+const splitIntoGroups = (name: string, upstreams: readonly GroupUpstream[]): Group[] => {
 	const sorted = upstreams.toSorted((first, second) => compareText(first.id, second.id));
-	const chunks = Math.ceil(sorted.length / groupSize);
-	return Array.from({length: chunks}, (_, index) => ({
+	const groupCount = Math.ceil(sorted.length / maxGroupSize);
+	return Array.from({length: groupCount}, (_, index) => ({
 		id: `${name}#${index}`,
-		upstreams: sorted.slice(index * groupSize, (index + 1) * groupSize),
+		upstreams: sorted.slice(index * maxGroupSize, (index + 1) * maxGroupSize),
 	}));
 };
 
--- a/packages/policy/src/order.test.ts
+++ b/packages/policy/src/order.test.ts
@@ -19,7 +19,7 @@
 const precedenceArbitrary: fc.Arbitrary<Precedence> = fc.record({floors: fc.subarray([1, 2, 3]), leads: fc.array(fc.double({min: 0, max: 5, noNaN: true}), {minLength: 3, maxLength: 3})})
 	.map(({floors, leads}) => ({floorsDue: floors, getLead: (_rank, customer) => leads['abc'.indexOf(customer)] ?? 0}));
 
-test('serves the highest rank first unless a floor is due', () => {
+test('serves the highest rank first unless the floor of a lower one is due', () => {
 	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
 		const first = getFirst(waiting, precedence, () => true)!;
 		const higher = waiting.filter(({ticket}) => ticket.rank < first.ticket.rank);
@@ -27,7 +27,7 @@
 	}), {seed: 1});
 });
 
-test('order is total and starts with the first', () => {
+test('the service order contains every ticket and starts with the first one', () => {
 	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
 		const order = getServiceOrder(waiting, precedence, () => 1);
 		expect(new Set(order)).toEqual(new Set(waiting));
@@ -38,7 +38,7 @@
 	}), {seed: 1});
 });
 
-test('what waits below changes nothing of the order above', () => {
+test('tickets of lower ranks do not change the order of higher ranks', () => {
 	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
 		const upper = waiting.filter(({ticket}) => ticket.rank < 2);
 		const order = getServiceOrder(waiting, precedence, () => 1).filter(({ticket}) => ticket.rank < 2);
@@ -46,12 +46,12 @@
 	}), {seed: 1});
 });
 
-/** Serves endless demand of all ranks, one run of `length` at a time in each slot, and returns the share of each rank. */
-const serve = (floors: readonly number[], slots: number, length: number): {shares: number[]; mostBelow: number} => {
+/** Simulates unlimited demand of all ranks, with one request of `serviceTime` at a time in each slot, and returns each rank's share of the slots and the maximum number of slots that lower tiers had. */
+const simulateScheduling = (floors: readonly number[], slots: number, serviceTime: number): {shares: number[]; maxLowerTierSlots: number} => {
 	const running = floors.map((): number[] => []);
 	const service = floors.map(() => 0);
 	let debts: FloorDebts = new Map();
-	let mostBelow = 0;
+	let maxLowerTierSlots = 0;
 	for (let now = 0; now < 600_000; now += 100) {
 		const getDemands = (): FloorDemand[] => floors.map((floor, rank) => ({
 			rank, floor: rank === 0 ? 0 : floor, running: running[rank]!.length, waiting: true,
@@ -64,28 +64,28 @@
 		while (running.flat().length < slots) {
 			const due = getFloorsDue(debts, getDemands(), slots);
 			const rank = due[0] ?? 0;
-			running[rank]!.push(now + length);
-			service[rank]! += length;
+			running[rank]!.push(now + serviceTime);
+			service[rank]! += serviceTime;
 		}
 
-		mostBelow = Math.max(mostBelow, running.slice(1).flat().length);
+		maxLowerTierSlots = Math.max(maxLowerTierSlots, running.slice(1).flat().length);
 	}
 
-	return {shares: service.map(value => value / slots / 600_000), mostBelow};
+	return {shares: service.map(value => value / slots / 600_000), maxLowerTierSlots};
 };
 
-test('floors get their share under endless load, and no more slots than theirs', () => {
+test('tiers get their floors under unlimited load, and no more slots than their floors', () => {
 	fc.assert(fc.property(
 		fc.array(fc.double({min: 0.02, max: 0.15, noNaN: true}), {minLength: 1, maxLength: 3}),
 		fc.integer({min: 2, max: 64}),
 		fc.integer({min: 2, max: 80}).map(steps => steps * 100),
-		(lower, slots, length) => {
+		(lower, slots, serviceTime) => {
 			const floors = [0, ...lower];
-			const {shares, mostBelow} = serve(floors, slots, length);
+			const {shares, maxLowerTierSlots} = simulateScheduling(floors, slots, serviceTime);
 			const demands = floors.map((floor, rank): FloorDemand => ({
 				rank, floor, running: 0, waiting: true,
 			}));
-			expect(mostBelow).toBeLessThanOrEqual(getFloorSlots(demands, slots));
+			expect(maxLowerTierSlots).toBeLessThanOrEqual(getFloorSlots(demands, slots));
 			for (const [rank, floor] of lower.entries()) {
 				expect(shares[rank + 1]).toBeGreaterThan(floor * 0.85);
 			}
@@ -93,7 +93,7 @@
 	), {seed: 1, numRuns: 30, examples: [[[0.0909, 0.0601], 11, 200]]});
 });
 
-test('a floor is not due before its grace, nor for a tier that does not wait', () => {
+test('a floor is not due before its grace period, nor for a tier without waiting tickets', () => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 4999}), fc.boolean(), (elapsed, waiting) => {
 		const demand: FloorDemand = {
 			rank: 1, floor: 0.1, running: 0, waiting,
@@ -103,7 +103,7 @@
 	}), {seed: 1});
 });
 
-test('customers get service by weight, whatever their requests cost', () => {
+test('customers get service in proportion to their weight, whatever their requests cost', () => {
 	fc.assert(fc.property(
 		fc.array(fc.record({weight: fc.integer({min: 1, max: 5}), cost: fc.integer({min: 50, max: 3000})}), {minLength: 2, maxLength: 5}),
 		items => {
@@ -119,13 +119,13 @@
 				service[Number(customer)]! += cost;
 			}
 
-			const normal = service.map((value, index) => value / items[index]!.weight);
-			expect(Math.max(...normal) - Math.min(...normal)).toBeLessThan(6000);
+			const weightedService = service.map((value, index) => value / items[index]!.weight);
+			expect(Math.max(...weightedService) - Math.min(...weightedService)).toBeLessThan(6000);
 		},
 	), {seed: 1, numRuns: 30});
 });
 
-test('a customer that was away saves up no service', () => {
+test('an idle customer accumulates no credit', () => {
 	const shares = createShares();
 	for (let turn = 0; turn < 100; turn++) {
 		applyTurn(shares, 0, 'busy');
--- a/packages/policy/src/order.ts
+++ b/packages/policy/src/order.ts
@@ -2,60 +2,61 @@
 	CustomerId, Milliseconds, Rank, Ticket,
 } from '@gentianlift/types';
 
-/** A waiting ticket at the owner of its group. */
+/** A ticket that is queued at the owner of its group. */
 export type Waiting = {
 	ticket: Ticket;
-	/** On the owner's monotonic clock. */
+	/** When its target is missed, on the owner's monotonic clock. */
 	deadline: Milliseconds;
-	/** On the owner's monotonic clock. */
+	/** Start of its wait, on the owner's monotonic clock. */
 	since: Milliseconds;
 	/** Order of arrival at the owner. */
 	sequence: number;
 };
 
-/** What the order depends on beside the tickets. */
+/** State of floors and customers that determines the order of tickets. */
 export type Precedence = {
-	/** Ranks whose floor is due now, in the order in which they are served. */
+	/** Ranks whose floor is due, in the order in which they are served. */
 	floorsDue: readonly Rank[];
-	/** How far a customer is ahead of its share inside a rank, in steps; those within the same step are taken as even. */
+	/** Returns how far a customer is ahead of others in weighted service within a rank, in steps; differences within a step are ignored. */
 	getLead: (rank: Rank, customer: CustomerId) => number;
 };
 
-/** Compares two waiting tickets: floors that are due, then rank, then the customers' shares, then the least slack. */
+/** Compares two queued tickets by due floors, then rank, then the customers' fair shares, then deadline, then arrival. */
 export const compareWaiting = (first: Waiting, second: Waiting, precedence: Precedence): number =>
-	compareTurns(getTurn(first, precedence, 0), getTurn(second, precedence, 0));
+	compareOrderKeys(getOrderKey(first, precedence, 0), getOrderKey(second, precedence, 0));
 
-type Turn<Item extends Waiting> = {item: Item; floor: number; lead: number};
+type OrderKey<Item extends Waiting> = {item: Item; floorPosition: number; lead: number};
 
-const getTurn = <Item extends Waiting>(item: Item, {floorsDue, getLead}: Precedence, ahead: number): Turn<Item> => ({
+const getOrderKey = <Item extends Waiting>(item: Item, {floorsDue, getLead}: Precedence, extraSteps: number): OrderKey<Item> => ({
 	item,
-	floor: floorsDue.includes(item.ticket.rank) ? floorsDue.indexOf(item.ticket.rank) : floorsDue.length,
-	lead: Math.floor(getLead(item.ticket.rank, item.ticket.customer) + ahead),
+	floorPosition: floorsDue.includes(item.ticket.rank) ? floorsDue.indexOf(item.ticket.rank) : floorsDue.length,
+	lead: Math.floor(getLead(item.ticket.rank, item.ticket.customer) + extraSteps),
 });
 
-const compareTurns = (first: Turn<Waiting>, second: Turn<Waiting>): number =>
-	first.floor - second.floor
+const compareOrderKeys = (first: OrderKey<Waiting>, second: OrderKey<Waiting>): number =>
+	first.floorPosition - second.floorPosition
 	|| first.item.ticket.rank - second.item.ticket.rank
 	|| first.lead - second.lead
 	|| first.item.deadline - second.item.deadline
 	|| first.item.sequence - second.item.sequence;
 
 /**
- * Gets the order in which waiting tickets are expected to be served if none joins them.
- * `getSteps` is the service of a ticket by its customer's weight, in steps: it counts for the customer's later tickets.
+ * Returns the order in which queued tickets are expected to be served if no others arrive.
+ * `getSteps` returns the service of a ticket divided by its customer's weight, in steps; it adds to the lead with which
+ * the customer's later tickets are ordered.
  */
 export const getServiceOrder = <Item extends Waiting>(waiting: readonly Item[], precedence: Precedence, getSteps: (item: Item) => number): Item[] => {
-	const ahead = new Map<string, number>();
-	const turns = waiting.toSorted((first, second) => compareWaiting(first, second, precedence)).map(item => {
+	const stepsByCustomer = new Map<string, number>();
+	const orderKeys = waiting.toSorted((first, second) => compareWaiting(first, second, precedence)).map(item => {
 		const key = `${item.ticket.rank}/${item.ticket.customer}`;
-		const steps = ahead.get(key) ?? 0;
-		ahead.set(key, steps + getSteps(item));
-		return getTurn(item, precedence, steps);
+		const stepsBefore = stepsByCustomer.get(key) ?? 0;
+		stepsByCustomer.set(key, stepsBefore + getSteps(item));
+		return getOrderKey(item, precedence, stepsBefore);
 	});
-	return turns.toSorted(compareTurns).map(({item}) => item);
+	return orderKeys.toSorted(compareOrderKeys).map(({item}) => item);
 };
 
-/** Gets the first in order among the tickets that pass. */
+/** Returns the first in order of the tickets for which `passes` is true. */
 export const getFirst = (waiting: Iterable<Waiting>, precedence: Precedence, passes: (ticket: Ticket) => boolean): Waiting | undefined => {
 	let first: Waiting | undefined;
 	for (const item of waiting) {
--- a/packages/policy/src/policy.test.ts
+++ b/packages/policy/src/policy.test.ts
@@ -5,8 +5,8 @@
 	Configuration, Customer, RequestClass, Ticket, Work,
 } from '@gentianlift/types';
 import {
-	applyCrash, applyFinish, applySample, type Candidate, chooseUpstream, classifyRequest, createEstimate, decideRetry, type Facts, type FailedAttempt, getBackoff,
-	getCautious, getFingerprint, getGroups, getLoad, getPrefixDigests, getSuspectStanding, getTargetsAt, groupSize, isTransferFaster, type Suspects,
+	applyCrash, applyFinish, applySample, type Candidate, chooseUpstream, classifyRequest, createEstimate, decideRetry, type IncomingRequest, type FailedAttempt, getBackoff,
+	getCautious, getFingerprint, getGroups, getLoad, getPrefixDigests, getSuspectStanding, getTargetsAt, maxGroupSize, isTransferFaster, type Suspects,
 } from './index.js';
 
 const customer: Customer = {
@@ -32,11 +32,11 @@
 const generation: Work = {
 	kind: 'generation', model: 'm', promptTokens: 1, maxTokens: 1, stream: true, prefix: [],
 };
-const facts: Facts = {
+const incoming: IncomingRequest = {
 	id: 'r', customer, arrivedAt: Date.UTC(2026, 0, 5, 7), method: 'POST', path: '/v1/chat/completions', work: generation, digest: '', fingerprint: '',
 };
 
-test('reads hours on the clocks of the customer, across the change of clocks', () => {
+test('chooses targets by the local time of the customer, also across changes to and from summer time', () => {
 	const at = (text: string) => getTargetsAt(quote, customer, Date.parse(text)).firstToken;
 	expect(at('2026-03-28T06:30:00Z')).toBe(500);
 	expect(at('2026-03-28T05:30:00Z')).toBe(5000);
@@ -45,28 +45,28 @@
 	expect(at('2026-10-25T05:30:00Z')).toBe(5000);
 });
 
-test('classifies by what is declared, allowed and matched', () => {
-	expect(classifyRequest(configuration, facts)).toMatchObject({kind: 'classified', request: {className: 'quote', rank: 0, deadline: facts.arrivedAt + 500}});
-	expect(classifyRequest(configuration, {...facts, declaredClass: 'x'})).toMatchObject({error: 'unknown-class'});
-	expect(classifyRequest(configuration, {...facts, declaredClass: 'order'})).toMatchObject({error: 'class-not-allowed'});
-	expect(classifyRequest(configuration, {...facts, work: {...generation, model: 'x'}})).toMatchObject({error: 'unknown-model'});
+test('classifies by the declared class, the customer\'s classes and the match rules', () => {
+	expect(classifyRequest(configuration, incoming)).toMatchObject({kind: 'classified', request: {className: 'quote', rank: 0, deadline: incoming.arrivedAt + 500}});
+	expect(classifyRequest(configuration, {...incoming, declaredClass: 'x'})).toMatchObject({error: 'unknown-class'});
+	expect(classifyRequest(configuration, {...incoming, declaredClass: 'order'})).toMatchObject({error: 'class-not-allowed'});
+	expect(classifyRequest(configuration, {...incoming, work: {...generation, model: 'x'}})).toMatchObject({error: 'unknown-model'});
 	const call: Work = {
 		kind: 'call', service: 'cuts', method: 'POST', path: '/orders',
 	};
 	const path = '/v1/services/cuts/orders';
-	expect(classifyRequest(configuration, {...facts, work: call, path})).toMatchObject({error: 'key-missing'});
+	expect(classifyRequest(configuration, {...incoming, work: call, path})).toMatchObject({error: 'key-missing'});
 	expect(classifyRequest(configuration, {
-		...facts, work: call, path, idempotencyKey: 'k',
+		...incoming, work: call, path, idempotencyKey: 'k',
 	})).toMatchObject({kind: 'classified', request: {className: 'order', idempotent: false}});
 });
 
-test('cuts upstreams into groups the same way in any order', () => {
+test('groups upstreams independently of their order', () => {
 	const {inventory} = configuration;
 	fc.assert(fc.property(fc.shuffledSubarray(inventory.engines, {minLength: inventory.engines.length}), engines => {
 		const groups = getGroups({...configuration, inventory: {...inventory, engines}});
 		expect(groups).toEqual(getGroups(configuration));
 		expect(groups.flatMap(group => group.upstreams)).toHaveLength(19);
-		expect(groups.every(group => group.upstreams.length <= groupSize)).toBe(true);
+		expect(groups.every(group => group.upstreams.length <= maxGroupSize)).toBe(true);
 	}), {seed: 1, numRuns: 20});
 });
 
@@ -75,9 +75,9 @@
 	attempts: fc.integer({min: 1, max: 6}), slack: fc.integer({min: -100, max: 5000}), expectedDuration: fc.nat(2000), resumable: fc.boolean(), withinBudget: fc.boolean(),
 });
 
-test('retries only what is safe, within budget and deadline', () => {
-	fc.assert(fc.property(attemptArbitrary, fc.double({min: 0, max: 1, noNaN: true}), (attempt, chance) => {
-		const decision = decideRetry(attempt, chance);
+test('retries only what may execute again, within the retry budget and the deadline', () => {
+	fc.assert(fc.property(attemptArbitrary, fc.double({min: 0, max: 1, noNaN: true}), (attempt, jitter) => {
+		const decision = decideRetry(attempt, jitter);
 		if (decision.kind === 'retry') {
 			expect(attempt.idempotent || attempt.ran === 'not-run').toBe(true);
 			expect(attempt.withinBudget).toBe(true);
@@ -86,13 +86,13 @@
 	}), {seed: 1, numRuns: 1000});
 });
 
-test('backs off further each time up to a bound', () => {
+test('backs off exponentially up to a maximum', () => {
 	expect([1, 2, 3].map(attempts => getBackoff(attempts, 1))).toEqual([50, 100, 200]);
 	expect(getBackoff(30, 1)).toBe(2000);
 	expect(getBackoff(1, 0)).toBe(25);
 });
 
-test('finds the guilty by two crashes and clears who finishes', () => {
+test('a request is guilty after two crashes and cleared when it finishes', () => {
 	let suspects: Suspects = applyCrash(new Map(), 'e0', ['guilty', 'innocent', 'guilty'], 0);
 	expect(getSuspectStanding(suspects, 'guilty', 1)).toBe('suspected');
 	suspects = applyFinish(suspects, 'innocent');
@@ -101,12 +101,12 @@
 	expect(getSuspectStanding(suspects, 'guilty', 10_000_000)).toBe('clear');
 });
 
-test('same fingerprint whatever the case and white space', () => {
+test('the fingerprint ignores case and white space', () => {
 	expect(getFingerprint('m', 'Cut  the\nPLATE ')).toBe(getFingerprint('m', 'cut the plate'));
 	expect(getFingerprint('m', 'a')).not.toBe(getFingerprint('n', 'a'));
 });
 
-test('prefix digests agree as far as prompts do', () => {
+test('prefix digests are equal up to the chunk where prompts differ', () => {
 	const text = 'x'.repeat(3000);
 	const [first, second] = [`${text}a`, `${text.slice(0, 2500)}b`].map(prompt => getPrefixDigests('m', prompt));
 	expect(first!.slice(0, 2)).toEqual(second!.slice(0, 2));
@@ -125,13 +125,13 @@
 const choose = (candidates: Candidate[], change: Partial<Ticket> = {}) =>
 	chooseUpstream(candidates, {...ticket, ...change}, createRandom(1), {usePrefix: true, useSpeed: true});
 
-test('prefers the held prefix until load outweighs it', () => {
-	const held = {prefixes: new Set(['p', 'q'])};
-	expect(choose([createCandidate('a'), createCandidate('b', {...held, load: 3})])).toBe('b');
-	expect(choose([createCandidate('a'), createCandidate('b', {...held, load: 5})])).toBe('a');
+test('prefers the upstream with the prefix cached until its load outweighs that', () => {
+	const cached = {prefixes: new Set(['p', 'q'])};
+	expect(choose([createCandidate('a'), createCandidate('b', {...cached, load: 3})])).toBe('b');
+	expect(choose([createCandidate('a'), createCandidate('b', {...cached, load: 5})])).toBe('a');
 });
 
-test('never chooses the full, the avoided, the straggler or one with a suspect for a suspect', () => {
+test('never chooses a full, unavailable, avoided or unfit upstream, a straggler, or one that runs a suspect for another suspect', () => {
 	expect(choose([createCandidate('a', {load: 8}), createCandidate('b', {available: false})])).toBeUndefined();
 	expect(choose([createCandidate('a')], {avoid: ['a']})).toBeUndefined();
 	expect(choose([createCandidate('a')], {needs: ['model:x']})).toBeUndefined();
@@ -139,7 +139,7 @@
 	expect(choose([createCandidate('a', {relativeSpeed: 0.3}), createCandidate('b', {load: 6})])).toBe('b');
 });
 
-test('counts what others have by the report, but not twice what is ours', () => {
+test('the load includes reported requests of other owners, but counts none of its own twice', () => {
 	const report = {
 		at: 0, running: 6, waiting: 1, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed' as const, leaving: false,
 	};
@@ -148,7 +148,7 @@
 	expect(getLoad(5, 0, undefined)).toBe(5);
 });
 
-test('estimates follow the samples', () => {
+test('estimates converge to the samples', () => {
 	let estimate = createEstimate(1000);
 	for (let index = 0; index < 100; index++) {
 		estimate = applySample(estimate, index % 2 === 0 ? 80 : 120);
@@ -159,9 +159,9 @@
 	expect(getCautious(estimate)).toBeGreaterThan(110);
 });
 
-test('moves a long prefix and computes a short one', () => {
+test('transfers the cache of a long prefix and recomputes a short one', () => {
 	const transfer = {
-		bytesPerToken: 100_000, bytesPerMillisecond: 1_000_000, overhead: 50, prefill: 0.3,
+		bytesPerToken: 100_000, bytesPerMillisecond: 1_000_000, overhead: 50, prefillPerToken: 0.3,
 	};
 	expect(isTransferFaster({...transfer, prefixTokens: 4000})).toBe(true);
 	expect(isTransferFaster({...transfer, prefixTokens: 100})).toBe(false);
--- a/packages/policy/src/retry.ts
+++ b/packages/policy/src/retry.ts
@@ -1,35 +1,35 @@
 import type {Milliseconds, RunState} from '@gentianlift/types';
 
-/** Attempts of one request, the first included. */
-export const mostAttempts = 4;
+/** Maximum number of attempts of one request, including the first. */
+export const maxAttempts = 4;
 
-const firstBackoff: Milliseconds = 50;
-const longestBackoff: Milliseconds = 2000;
+const initialBackoff: Milliseconds = 50;
+const maxBackoff: Milliseconds = 2000;
 
-/** How the last attempt of a request ended, and what is left. */
+/** How the last attempt of a request ended, and what limits another one. */
 export type FailedAttempt = {
-	/** Whether the upstream ran the request, as far as is proven. */
+	/** Whether the upstream is known to have executed the request, or not to have. */
 	ran: RunState;
 	idempotent: boolean;
-	/** Attempts made, the last included. */
+	/** Number of attempts so far, including the last. */
 	attempts: number;
-	/** Time up to the deadline. */
+	/** Time until the deadline. */
 	slack: Milliseconds;
-	/** Least time that another attempt takes. */
+	/** Minimum duration of another attempt. */
 	expectedDuration: Milliseconds;
-	/** Part of the answer that has reached the caller can be continued, or none has reached it. */
+	/** Whether the part of the answer that has reached the caller, if any, can be continued. */
 	resumable: boolean;
-	/** Whether the class's retry budget has one left. */
+	/** Whether the retry budget of the request's class allows another attempt. */
 	withinBudget: boolean;
 };
 
-/** Whether to try again, counted by `reason`. */
+/** Whether to retry; metrics count decisions by `reason`. */
 export type RetryDecision
 	= | {kind: 'retry'; delay: Milliseconds; reason: 'not-run' | 'idempotent' | 'resume'}
 		| {kind: 'stop'; reason: 'may-have-run' | 'attempts' | 'deadline' | 'budget' | 'not-resumable'};
 
-/** Decides on another attempt. `chance` is a seeded number from 0 to 1 that spreads retries. */
-export const decideRetry = (attempt: FailedAttempt, chance: number): RetryDecision => {
+/** Decides whether to retry. `jitter` is a pseudorandom number from 0 to 1 that spreads retries over time. */
+export const decideRetry = (attempt: FailedAttempt, jitter: number): RetryDecision => {
 	if (attempt.ran !== 'not-run' && !attempt.idempotent) {
 		return {kind: 'stop', reason: 'may-have-run'};
 	}
@@ -38,11 +38,11 @@
 		return {kind: 'stop', reason: 'not-resumable'};
 	}
 
-	if (attempt.attempts >= mostAttempts) {
+	if (attempt.attempts >= maxAttempts) {
 		return {kind: 'stop', reason: 'attempts'};
 	}
 
-	const delay = getBackoff(attempt.attempts, chance);
+	const delay = getBackoff(attempt.attempts, jitter);
 	if (delay + attempt.expectedDuration > attempt.slack) {
 		return {kind: 'stop', reason: 'deadline'};
 	}
@@ -54,8 +54,8 @@
 	return {kind: 'retry', delay, reason: attempt.ran === 'not-run' ? 'not-run' : 'idempotent'};
 };
 
-/** Gets the delay before the attempt that follows `attempts` others: between half of and the whole exponential step. */
-export const getBackoff = (attempts: number, chance: number): Milliseconds => {
-	const step = Math.min(longestBackoff, firstBackoff * (2 ** Math.max(0, attempts - 1)));
-	return (step / 2) + (chance * step / 2);
+/** Returns the delay before the retry after `attempts` attempts: exponential backoff, of which up to half is taken off by jitter. */
+export const getBackoff = (attempts: number, jitter: number): Milliseconds => {
+	const backoff = Math.min(maxBackoff, initialBackoff * (2 ** Math.max(0, attempts - 1)));
+	return (backoff / 2) + (jitter * backoff / 2);
 };
--- a/packages/policy/src/shares.ts
+++ b/packages/policy/src/shares.ts
@@ -1,45 +1,45 @@
 import type {CustomerId, Milliseconds, Rank} from '@gentianlift/types';
 
-/** Service by which a customer may be ahead of another before it is served after it. */
+/** Lead in weighted service up to which a customer still counts as even with others. */
 export const shareStep: Milliseconds = 500;
 
-/** Weighted service that each customer has had inside each rank, as virtual times. */
+/** Weighted service that each customer has had within each rank, as virtual times of weighted fair queueing. */
 export type Shares = {
-	/** Virtual time by rank and customer. */
-	readonly times: Map<string, number>;
-	/** Virtual time of the last grant by rank. */
-	readonly current: Map<Rank, number>;
+	/** Customers' virtual times by rank and customer. */
+	readonly customerTimes: Map<string, number>;
+	/** Virtual time of each rank: the highest of any customer at the time of its grant. */
+	readonly rankTimes: Map<Rank, number>;
 };
 
-/** Creates an empty record of shares. */
-export const createShares = (): Shares => ({times: new Map(), current: new Map()});
+/** Creates virtual times without service. */
+export const createShares = (): Shares => ({customerTimes: new Map(), rankTimes: new Map()});
 
 const getKey = (rank: Rank, customer: CustomerId): string => `${rank}/${customer}`;
 
-/** Gets a customer's virtual time. One that was away gets no credit for it. */
+/** Returns a customer's virtual time. An idle customer accumulates no credit: it falls at most one step behind the rank. */
 export const getVirtualTime = (shares: Shares, rank: Rank, customer: CustomerId): number =>
-	Math.max(shares.times.get(getKey(rank, customer)) ?? 0, (shares.current.get(rank) ?? 0) - shareStep);
+	Math.max(shares.customerTimes.get(getKey(rank, customer)) ?? 0, (shares.rankTimes.get(rank) ?? 0) - shareStep);
 
-/** Charges a customer for service, in milliseconds of a slot; negative to correct an estimate. */
+/** Charges a customer for service in slot-milliseconds; a negative amount corrects an earlier estimate. */
 export const applyService = (shares: Shares, rank: Rank, charge: {customer: CustomerId; weight: number; service: Milliseconds}): void => {
 	const time = getVirtualTime(shares, rank, charge.customer);
-	shares.times.set(getKey(rank, charge.customer), time + (charge.service / Math.max(charge.weight, Number.EPSILON)));
+	shares.customerTimes.set(getKey(rank, charge.customer), time + (charge.service / Math.max(charge.weight, Number.EPSILON)));
 };
 
-/** Moves the rank's virtual time up to that of a customer that is served, and forgets customers that fell behind it. */
+/** Advances the rank's virtual time to that of a customer that is being served, and removes customers more than one step behind it. */
 export const applyTurn = (shares: Shares, rank: Rank, customer: CustomerId): void => {
-	const time = Math.max(shares.current.get(rank) ?? 0, getVirtualTime(shares, rank, customer));
-	shares.current.set(rank, time);
-	for (const [key, known] of shares.times) {
-		if (key.startsWith(`${rank}/`) && known < time - shareStep) {
-			shares.times.delete(key);
+	const time = Math.max(shares.rankTimes.get(rank) ?? 0, getVirtualTime(shares, rank, customer));
+	shares.rankTimes.set(rank, time);
+	for (const [key, customerTime] of shares.customerTimes) {
+		if (key.startsWith(`${rank}/`) && customerTime < time - shareStep) {
+			shares.customerTimes.delete(key);
 		}
 	}
 };
 
-/** Gets how far each waiting customer of a rank is ahead of the one that had least, in steps. */
+/** Returns how far each waiting customer of a rank is ahead of the one with the least weighted service, in steps. */
 export const getLeads = (shares: Shares, rank: Rank, customers: ReadonlySet<CustomerId>): ReadonlyMap<CustomerId, number> => {
 	const times = [...customers].map(customer => [customer, getVirtualTime(shares, rank, customer)] as const);
-	const least = Math.min(...times.map(([, time]) => time));
-	return new Map(times.map(([customer, time]) => [customer, (time - least) / shareStep]));
+	const lowest = Math.min(...times.map(([, time]) => time));
+	return new Map(times.map(([customer, time]) => [customer, (time - lowest) / shareStep]));
 };
--- a/packages/policy/src/suspects.ts
+++ b/packages/policy/src/suspects.ts
@@ -1,18 +1,18 @@
 import type {Milliseconds, UpstreamId} from '@gentianlift/types';
 
-/** Crashes after which a request is taken as their cause. */
+/** Number of crashes after which a request is considered their cause. */
 export const guiltyCrashes = 2;
 
-/** How long a fingerprint stays recorded after its last crash. */
-export const suspectDuration: Milliseconds = 1_800_000;
+/** Time after its last crash for which a fingerprint is kept. */
+export const suspectLifetime: Milliseconds = 1_800_000;
 
-/** Most fingerprints recorded. */
-export const mostSuspects = 1000;
+/** Maximum number of fingerprints kept. */
+export const maxSuspects = 1000;
 
-/** What is recorded of requests that ran on an upstream when it crashed. */
+/** A request, by its fingerprint, that was running on an upstream when the upstream crashed. */
 export type Suspect = {
 	fingerprint: string;
-	/** Upstreams that crashed while running it, in order; a repeat counts again. */
+	/** Upstreams that crashed while running it, in order; an upstream that crashed again is listed again. */
 	crashes: UpstreamId[];
 	expiresAt: Milliseconds;
 };
@@ -20,11 +20,11 @@
 /** Suspects by fingerprint. */
 export type Suspects = ReadonlyMap<string, Suspect>;
 
-/** How a request is treated. */
-export type SuspectStanding = 'clear' | 'suspected' | 'guilty';
+/** How a request is treated: suspected ones run isolated from other suspects, guilty ones are refused. */
+export type SuspectStatus = 'clear' | 'suspected' | 'guilty';
 
-/** Gets how requests with the fingerprint are treated. */
-export const getSuspectStanding = (suspects: Suspects, fingerprint: string, now: Milliseconds): SuspectStanding => {
+/** Returns how requests with the fingerprint are treated. */
+export const getSuspectStanding = (suspects: Suspects, fingerprint: string, now: Milliseconds): SuspectStatus => {
 	const suspect = suspects.get(fingerprint);
 	if (suspect === undefined || suspect.expiresAt <= now) {
 		return 'clear';
@@ -33,19 +33,19 @@
 	return suspect.crashes.length >= guiltyCrashes ? 'guilty' : 'suspected';
 };
 
-/** Records that an upstream crashed while running requests with the fingerprints. */
+/** Records that an upstream crashed while it ran requests with the fingerprints; returns the new suspects. */
 export const applyCrash = (suspects: Suspects, upstream: UpstreamId, fingerprints: readonly string[], now: Milliseconds): Suspects => {
 	const next = new Map([...suspects].filter(([, suspect]) => suspect.expiresAt > now));
 	for (const fingerprint of new Set(fingerprints)) {
 		const crashes = [...next.get(fingerprint)?.crashes ?? [], upstream];
 		next.delete(fingerprint);
-		next.set(fingerprint, {fingerprint, crashes, expiresAt: now + suspectDuration});
+		next.set(fingerprint, {fingerprint, crashes, expiresAt: now + suspectLifetime});
 	}
 
-	return new Map([...next].slice(-mostSuspects));
+	return new Map([...next].slice(-maxSuspects));
 };
 
-/** Clears a fingerprint whose request finished while it ran alone among suspects. */
+/** Removes a fingerprint whose request finished while isolated; returns the new suspects. */
 export const applyFinish = (suspects: Suspects, fingerprint: string): Suspects => {
 	if (!suspects.has(fingerprint)) {
 		return suspects;
--- a/packages/policy/src/targets.ts
+++ b/packages/policy/src/targets.ts
@@ -4,53 +4,53 @@
 
 const minutesPerHour = 60;
 
-/** Time given to a request whose class has no target at that hour. */
-export const untargetedDeadline: Milliseconds = 600_000;
+/** Time limit of a request whose class has no target at that time of day. */
+export const defaultTimeLimit: Milliseconds = 600_000;
 
-const formats = new Map<string, Intl.DateTimeFormat>();
+const formatterCache = new Map<string, Intl.DateTimeFormat>();
 
-const getFormat = (timeZone: string): Intl.DateTimeFormat => {
-	const known = formats.get(timeZone);
-	if (known !== undefined) {
-		return known;
+const getFormatter = (timeZone: string): Intl.DateTimeFormat => {
+	const cached = formatterCache.get(timeZone);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	const format = new Intl.DateTimeFormat('en-GB', {
+	const formatter = new Intl.DateTimeFormat('en-GB', {
 		timeZone, hour: '2-digit', minute: '2-digit', hourCycle: 'h23',
 	});
-	formats.set(timeZone, format);
-	return format;
+	formatterCache.set(timeZone, formatter);
+	return formatter;
 };
 
-const getMinutes = (time: string): number => {
+const parseMinutes = (time: string): number => {
 	const [hours = '0', minutes = '0'] = time.split(':');
 	return (Number(hours) * minutesPerHour) + Number(minutes);
 };
 
-/** Gets the minute of the day, on the clocks of the time zone, at a moment. */
-export const getMinuteOfDay = (timeZone: string, at: Milliseconds): number => getMinutes(getFormat(timeZone).format(at));
+/** Returns the minute of the day in a time zone. */
+export const getMinuteOfDay = (timeZone: string, at: Milliseconds): number => parseMinutes(getFormatter(timeZone).format(at));
 
-const isWithin = (hours: HourlyTargets, minute: number): boolean => {
-	const from = getMinutes(hours.from);
-	const to = getMinutes(hours.to);
+const isWithinHours = (hours: HourlyTargets, minute: number): boolean => {
+	const from = parseMinutes(hours.from);
+	const to = parseMinutes(hours.to);
 	return from <= to ? minute >= from && minute < to : minute >= from || minute < to;
 };
 
-/** Gets the targets of a class at a moment, by the clocks of the customer's time zone; empty where none are in force. */
+/** Returns the targets of a class by the time of day in the customer's time zone; empty if none apply. */
 export const getTargetsAt = (requestClass: RequestClass, customer: Customer, at: Milliseconds): Targets => {
 	const minute = getMinuteOfDay(customer.timeZone, at);
-	return requestClass.hours.find(hours => isWithin(hours, minute))?.targets ?? {};
+	return requestClass.hours.find(hours => isWithinHours(hours, minute))?.targets ?? {};
 };
 
-/** Gets the moment after which the answer misses its target: the first token's for a generation, the whole answer's for a call. */
+/** Returns when a request misses its target: for the first token of a generation, for the whole answer of a call. */
 export const getDeadline = (targets: Targets, work: Work, arrivedAt: Milliseconds): Milliseconds => {
 	switch (work.kind) {
 		case 'generation': {
-			return arrivedAt + (targets.firstToken ?? targets.whole ?? untargetedDeadline);
+			return arrivedAt + (targets.firstToken ?? targets.whole ?? defaultTimeLimit);
 		}
 
 		case 'call': {
-			return arrivedAt + (targets.whole ?? targets.firstToken ?? untargetedDeadline);
+			return arrivedAt + (targets.whole ?? targets.firstToken ?? defaultTimeLimit);
 		}
 	}
 };
