--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -51,8 +51,8 @@
 };
 
 /** Returns the expected waiting time for a slot. */
-export const getWait = ({ahead, nextFree, slots, share}: QueueState): Milliseconds =>
-	nextFree + (ahead / Math.max(1, slots * share));
+export const getWait = ({ahead, nextFree, slots, share: slotFraction}: QueueState): Milliseconds =>
+	nextFree + (ahead / Math.max(1, slots * slotFraction));
 
 /** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
 export const getLoad = (outstanding: number, outstandingAtReport: number, report: LoadReport | undefined): number => {
--- a/packages/policy/src/groups.ts
+++ b/packages/policy/src/groups.ts
@@ -14,7 +14,7 @@
 	/** Number of requests that the upstream runs concurrently. */
 	slots: number;
 	/** Names of the models and adapters that the upstream may load, or of the service that it provides; see `getNeeds`. */
-	holds: ReadonlySet<string>;
+	provides: ReadonlySet<string>;
 };
 
 /** Upstreams whose requests are scheduled by one host, the group's owner. */
@@ -49,7 +49,7 @@
 
 /** Returns whether an upstream can provide all needs. */
 export const hasNeeds = (upstream: GroupUpstream, needs: readonly string[]): boolean =>
-	needs.every(need => upstream.holds.has(need));
+	needs.every(need => upstream.provides.has(need));
 
 /** Returns the name of a model in a list of needs. */
 export const getModelNeed = (model: ModelName): string => `model:${model}`;
@@ -78,7 +78,7 @@
 	zone: instance.zone,
 	role: 'mixed',
 	slots: instance.slots,
-	holds: new Set([getServiceNeed(service.name)]),
+	provides: new Set([getServiceNeed(service.name)]),
 })));
 
 const getEngineUpstream = (engine: Engine): GroupUpstream => ({
@@ -87,7 +87,7 @@
 	zone: engine.zone,
 	role: engine.role,
 	slots: engine.slots,
-	holds: new Set([...engine.models.map(model => getModelNeed(model)), ...engine.adapters.map(adapter => getAdapterNeed(adapter))]),
+	provides: new Set([...engine.models.map(model => getModelNeed(model)), ...engine.adapters.map(adapter => getAdapterNeed(adapter))]),
 });
 
 const splitIntoGroups = (name: string, upstreams: readonly GroupUpstream[]): Group[] => {
--- a/packages/policy/src/order.test.ts
+++ b/packages/policy/src/order.test.ts
@@ -11,7 +11,7 @@
 	needs: [], prefix: [], avoid: [], isolated: false, idempotent: true, fingerprint: '', ...change,
 });
 
-const waitingArbitrary = fc.array(fc.record({rank: fc.nat(3), customer: fc.constantFrom('a', 'b', 'c'), deadline: fc.nat(100)}), {minLength: 1, maxLength: 20})
+const ticketsArbitrary = fc.array(fc.record({rank: fc.nat(3), customer: fc.constantFrom('a', 'b', 'c'), deadline: fc.nat(100)}), {minLength: 1, maxLength: 20})
 	.map(items => items.map(({rank, customer, deadline}, sequence): Waiting => ({
 		ticket: createTicket({request: `r${sequence}`, rank, customer}), deadline, since: 0, sequence,
 	})));
@@ -20,28 +20,28 @@
 	.map(({floors, leads}) => ({floorsDue: floors, getLead: (_rank, customer) => leads['abc'.indexOf(customer)] ?? 0}));
 
 test('serves the highest rank first unless the floor of a lower one is due', () => {
-	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
-		const first = getFirst(waiting, precedence, () => true)!;
-		const higher = waiting.filter(({ticket}) => ticket.rank < first.ticket.rank);
+	fc.assert(fc.property(ticketsArbitrary, precedenceArbitrary, (tickets, precedence) => {
+		const first = getFirst(tickets, precedence, () => true)!;
+		const higher = tickets.filter(({ticket}) => ticket.rank < first.ticket.rank);
 		expect(higher.length === 0 || precedence.floorsDue.includes(first.ticket.rank)).toBe(true);
 	}), {seed: 1});
 });
 
 test('the service order contains every ticket and starts with the first one', () => {
-	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
-		const order = getServiceOrder(waiting, precedence, () => 1);
-		expect(new Set(order)).toEqual(new Set(waiting));
-		expect(order[0]).toBe(getFirst(waiting, precedence, () => true));
-		for (const item of waiting) {
+	fc.assert(fc.property(ticketsArbitrary, precedenceArbitrary, (tickets, precedence) => {
+		const order = getServiceOrder(tickets, precedence, () => 1);
+		expect(new Set(order)).toEqual(new Set(tickets));
+		expect(order[0]).toBe(getFirst(tickets, precedence, () => true));
+		for (const item of tickets) {
 			expect(compareWaiting(item, order[0]!, precedence)).toBeGreaterThanOrEqual(0);
 		}
 	}), {seed: 1});
 });
 
 test('tickets of lower ranks do not change the order of higher ranks', () => {
-	fc.assert(fc.property(waitingArbitrary, precedenceArbitrary, (waiting, precedence) => {
-		const upper = waiting.filter(({ticket}) => ticket.rank < 2);
-		const order = getServiceOrder(waiting, precedence, () => 1).filter(({ticket}) => ticket.rank < 2);
+	fc.assert(fc.property(ticketsArbitrary, precedenceArbitrary, (tickets, precedence) => {
+		const upper = tickets.filter(({ticket}) => ticket.rank < 2);
+		const order = getServiceOrder(tickets, precedence, () => 1).filter(({ticket}) => ticket.rank < 2);
 		expect(order).toEqual(getServiceOrder(upper, precedence, () => 1));
 	}), {seed: 1});
 });
--- a/packages/policy/src/order.ts
+++ b/packages/policy/src/order.ts
@@ -45,9 +45,9 @@
  * `getSteps` returns the service of a ticket divided by its customer's weight, in steps; it adds to the lead with which
  * the customer's later tickets are ordered.
  */
-export const getServiceOrder = <Item extends Waiting>(waiting: readonly Item[], precedence: Precedence, getSteps: (item: Item) => number): Item[] => {
+export const getServiceOrder = <Item extends Waiting>(tickets: readonly Item[], precedence: Precedence, getSteps: (item: Item) => number): Item[] => {
 	const stepsByCustomer = new Map<string, number>();
-	const orderKeys = waiting.toSorted((first, second) => compareWaiting(first, second, precedence)).map(item => {
+	const orderKeys = tickets.toSorted((first, second) => compareWaiting(first, second, precedence)).map(item => {
 		const key = `${item.ticket.rank}/${item.ticket.customer}`;
 		const stepsBefore = stepsByCustomer.get(key) ?? 0;
 		stepsByCustomer.set(key, stepsBefore + getSteps(item));
@@ -57,9 +57,9 @@
 };
 
 /** Returns the first in order of the tickets for which `passes` is true. */
-export const getFirst = (waiting: Iterable<Waiting>, precedence: Precedence, passes: (ticket: Ticket) => boolean): Waiting | undefined => {
+export const getFirst = (tickets: Iterable<Waiting>, precedence: Precedence, passes: (ticket: Ticket) => boolean): Waiting | undefined => {
 	let first: Waiting | undefined;
-	for (const item of waiting) {
+	for (const item of tickets) {
 		const isEarlier = first === undefined || compareWaiting(item, first, precedence) < 0;
 		if (isEarlier && passes(item.ticket)) {
 			first = item;
--- a/packages/policy/src/policy.test.ts
+++ b/packages/policy/src/policy.test.ts
@@ -115,7 +115,7 @@
 
 const createCandidate = (id: string, change: Partial<Candidate> = {}): Candidate => ({
 	upstream: {
-		id, kind: 'engine', zone: 'a', role: 'mixed', slots: 8, holds: new Set(['model:m']),
+		id, kind: 'engine', zone: 'a', role: 'mixed', slots: 8, provides: new Set(['model:m']),
 	}, available: true, load: 0, slots: 8, relativeSpeed: 1, prefixes: new Set(), hasSuspect: false, ...change,
 });
 const ticket: Ticket = {
--- a/packages/routing/src/choose-upstream.ts
+++ b/packages/routing/src/choose-upstream.ts
@@ -102,7 +102,10 @@
 	return ((load.running + 1) * relativeLatency) + zonePenalty + (failureRatio * failureSlotCost);
 };
 
-/** Returns the cost of sending the request to the candidate; only costs of one service's candidates are comparable. */
+/**
+ * Returns the cost of sending the request to the candidate: in milliseconds of time to first token for requests with a
+ * prompt, else in requests in flight. Only costs of one service's candidates are comparable.
+ */
 export const getCost = (candidate: Candidate, placement: Placement): number =>
 	placement.hasPrompt ? getGenerationCost(candidate, placement) : getCallCost(candidate, placement);
 
