--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -1,34 +1,35 @@
 import {getUpstreamKey, type Upstream} from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptOutcome} from './attempt-outcome.js';
 import type {Call, Progress} from './call.js';
 import {deliverStream, writeAnswerHead} from './deliver.js';
-import {deliverWhole, isOwnFailure} from './deliver-whole.js';
-import type {LoadEntry} from './load-entry.js';
+import {deliverBuffered, isServerError} from './deliver-buffered.js';
+import type {RequestLoad} from './request-load.js';
 import {reportCrash} from './report-crash.js';
-import {send, type Outgoing, type SendOutcome} from './send.js';
-import type {Tools} from './tools.js';
-import type {Exchange} from './upstream-board.js';
-import type {Place} from './waiting-line.js';
-
-/** Time without an answer after which a request that may be repeated goes to another upstream. */
-const patience: Milliseconds = 300;
-/** Share of the time left that the first of two tries may take. */
-const patienceShare = 0.4;
-/** Silence of an upstream after which a stream goes on at another, beside the time for reading its prompt. */
-const streamSilence: Milliseconds = 1000;
-/** Speed at which the slowest engines read prompts, in tokens per millisecond. */
-const leastReadingSpeed = 15;
+import {send, type UpstreamRequest, type SendOutcome} from './send.js';
+import type {ForwarderContext} from './context.js';
+import type {Exchange} from './upstream-tracker.js';
+import type {Assignment} from './request-queue.js';
+
+/** Shortest wait for the head of an answer before an idempotent request is retried on another upstream. */
+const minFirstAttemptTimeout: Milliseconds = 300;
+/** Fraction of the remaining time that an attempt may wait for an answer while a retry is left. */
+const firstAttemptFraction = 0.4;
+/** Silence of an upstream after which a stream resumes on another one, in addition to the prefill time. */
+const streamSilenceTimeout: Milliseconds = 1000;
+/** Prefill rate of the slowest engines, in tokens per millisecond. */
+const minPrefillRate = 15;
 const silenceCheckInterval: Milliseconds = 200;
 
-const getHeadLimit = (call: Call, progress: Progress, timeLeft: Milliseconds): Milliseconds => {
-	const mayGoElsewhere = call.route.kind === 'idempotent' && progress.upstreamsRun + 1 < call.route.mostUpstreams;
-	return mayGoElsewhere ? Math.min(timeLeft, Math.max(patience, timeLeft * patienceShare)) : timeLeft;
+/** Returns the longest wait for the head of an answer; while a retry is possible, part of the remaining time is left for it. */
+const getHeadTimeout = (call: Call, progress: Progress, timeLeft: Milliseconds): Milliseconds => {
+	const mayRetryElsewhere = call.route.kind === 'idempotent' && progress.possibleExecutions + 1 < call.route.mostUpstreams;
+	return mayRetryElsewhere ? Math.min(timeLeft, Math.max(minFirstAttemptTimeout, timeLeft * firstAttemptFraction)) : timeLeft;
 };
 
-const buildOutgoing = (call: Call, progress: Progress, upstream: Upstream, tools: Tools): Outgoing => {
-	const timeLeft = Math.max(1, Math.floor(call.endsAt - tools.clock.monotonic()));
-	const headers = tools.protocol.writeUpstreamHead({
+const buildUpstreamRequest = (call: Call, progress: Progress, upstream: Upstream, context: ForwarderContext): UpstreamRequest => {
+	const timeLeft = Math.max(1, Math.floor(call.deadline - context.clock.monotonic()));
+	const headers = context.protocol.writeUpstreamHead({
 		caller: call.head,
 		upstream,
 		customer: call.customer?.name,
@@ -44,47 +45,48 @@
 		headers,
 		body: call.body,
 		attempt: call.head.attempt,
-		headLimit: getHeadLimit(call, progress, timeLeft),
+		headTimeout: getHeadTimeout(call, progress, timeLeft),
 	};
 };
 
-/** One try of a call at one upstream. */
-type Try = {call: Call; progress: Progress; upstream: Upstream; tools: Tools; load: LoadEntry; exchange: Exchange; startedAt: Milliseconds};
+/** One attempt to run a call on an upstream. */
+type Attempt = {call: Call; progress: Progress; upstream: Upstream; context: ForwarderContext; load: RequestLoad; exchange: Exchange; startedAt: Milliseconds};
 
-/** Takes in the first token: the prompt was read, and those before it. */
-const applyFirst = ({call, progress, upstream, tools, load, startedAt}: Try): void => {
-	const now = tools.clock.monotonic();
-	progress.firstAt = now;
-	load.finishReading();
+/** Records the time to first token: the prefill of this prompt and of those queued before it is complete. */
+const recordFirstToken = ({call, progress, upstream, context, load, startedAt}: Attempt): void => {
+	const now = context.clock.monotonic();
+	progress.firstBytesAt = now;
+	load.finishPrefill();
 	if (call.head.prompt !== undefined && progress.choice !== undefined) {
-		tools.board.applyFirst(upstream, progress.choice.unreadTokens + progress.choice.uncachedTokens, now - startedAt);
+		context.tracker.recordFirstToken(upstream, progress.choice.unreadTokens + progress.choice.uncachedTokens, now - startedAt);
 	}
 };
 
-/** Notes when a piece of a stream came. */
-const applyPiece = (progress: Progress, now: Milliseconds): void => {
-	progress.longestPause = Math.max(progress.longestPause, now - (progress.lastAt ?? now));
-	progress.lastAt = now;
+/** Records the arrival of a chunk of a stream. */
+const recordChunk = (progress: Progress, now: Milliseconds): void => {
+	progress.maxChunkGap = Math.max(progress.maxChunkGap, now - (progress.lastBytesAt ?? now));
+	progress.lastBytesAt = now;
 };
 
-const deliverEvents = async (attempt: Try, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>): Promise<AttemptEnd> => {
-	const {call, progress, tools, exchange} = attempt;
+/** Delivers a streamed answer to the caller. */
+const deliverEvents = async (attempt: Attempt, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>): Promise<AttemptOutcome> => {
+	const {call, progress, context, exchange} = attempt;
 	answer.message.on('data', () => {
-		exchange.applyBytes();
-		applyPiece(progress, tools.clock.monotonic());
+		exchange.recordBytes();
+		recordChunk(progress, context.clock.monotonic());
 	});
 	const delivery = await deliverStream({
 		head, answer, response: call.response, progress,
-		keepsEvents: call.isRepeatable,
-		isLast: tools.isStopping(),
-		onFirst() {
-			applyFirst(attempt);
+		isResumable: call.isRetryable,
+		isClosing: context.isStopping(),
+		onFirstBytes() {
+			recordFirstToken(attempt);
 		},
 	});
 	switch (delivery.kind) {
 		case 'complete': {
 			if (!call.response.headersSent) {
-				writeAnswerHead(call.response, head, tools.isStopping());
+				writeAnswerHead(call.response, head, context.isStopping());
 			}
 
 			call.response.end();
@@ -92,8 +94,8 @@
 		}
 
 		case 'cut': {
-			const mayGoOn = call.isRepeatable || !call.response.headersSent;
-			return mayGoOn ? {kind: 'failed', reason: delivery.reason} : {kind: 'spoiled', reason: delivery.reason};
+			const canResume = call.isRetryable || !call.response.headersSent;
+			return canResume ? {kind: 'failed', reason: delivery.reason} : {kind: 'spoiled', reason: delivery.reason};
 		}
 
 		case 'broken': {
@@ -102,7 +104,8 @@
 	}
 };
 
-const deliver = async (attempt: Try, outcome: SendOutcome): Promise<AttemptEnd> => {
+/** Delivers the answer, if there is one, and maps the outcome of the send to that of the attempt. */
+const handleSendOutcome = async (attempt: Attempt, outcome: SendOutcome): Promise<AttemptOutcome> => {
 	switch (outcome.kind) {
 		case 'unreachable': {
 			return outcome;
@@ -121,99 +124,102 @@
 		}
 
 		case 'answered': {
-			attempt.exchange.applyBytes();
+			attempt.exchange.recordBytes();
 			const isStream = outcome.head.isEventStream && outcome.head.status < 300;
-			return isStream ? deliverEvents(attempt, outcome) : deliverWhole(attempt.call, outcome, attempt.tools.isStopping());
+			return isStream ? deliverEvents(attempt, outcome) : deliverBuffered(attempt.call, outcome, attempt.context.isStopping());
 		}
 	}
 };
 
-/** Moves a resumable stream away from an upstream that went silent. */
-const watchSilence = ({call, upstream, tools}: Try, unreadTokens: number, cancel: () => void): (() => void) => {
-	if (!call.isRepeatable || call.route.kind !== 'streaming') {
+/** Cancels the attempt of a resumable stream once its upstream is silent for too long; returns a function that stops watching. */
+const watchForSilence = ({call, upstream, context}: Attempt, unreadTokens: number, cancel: () => void): (() => void) => {
+	if (!call.isRetryable || call.route.kind !== 'streaming') {
 		return () => undefined;
 	}
 
-	const limit = streamSilence + (unreadTokens / leastReadingSpeed);
-	const {every} = tools.clock;
+	const silenceTimeout = streamSilenceTimeout + (unreadTokens / minPrefillRate);
+	const {every} = context.clock;
 	return every(silenceCheckInterval, () => {
-		if (tools.board.getSilence(upstream) > limit) {
-			tools.logger.info('upstream-silent', {request: call.head.attempt, upstream: getUpstreamKey(upstream), limit: Math.round(limit)});
+		if (context.tracker.getSilence(upstream) > silenceTimeout) {
+			context.logger.info('upstream-silent', {request: call.head.attempt, upstream: getUpstreamKey(upstream), limit: Math.round(silenceTimeout)});
 			cancel();
 		}
 	});
 };
 
-const applyEnd = ({call, upstream, tools}: Try, end: AttemptEnd, duration: Milliseconds): void => {
-	switch (end.kind) {
+/** Records the outcome in the state of the upstream, with the durations of all answers but streams. */
+const recordOutcome = ({call, upstream, context}: Attempt, outcome: AttemptOutcome, duration: Milliseconds): void => {
+	switch (outcome.kind) {
 		case 'delivered': {
-			const isTypical = call.route.kind !== 'streaming';
-			tools.board.applyResult(upstream, isOwnFailure(end.status), isTypical ? duration : undefined);
+			const hasComparableDuration = call.route.kind !== 'streaming';
+			context.tracker.recordResult(upstream, isServerError(outcome.status), hasComparableDuration ? duration : undefined);
 			break;
 		}
 
 		case 'unreachable': {
-			tools.board.applyUnreachable(upstream, end.reason);
+			context.tracker.recordUnreachable(upstream, outcome.reason);
 			break;
 		}
 
 		case 'rejected': {
-			tools.board.applyResult(upstream, true, undefined);
+			context.tracker.recordResult(upstream, true, undefined);
 			break;
 		}
 
 		case 'failed':
 		case 'spoiled': {
-			tools.board.applyResult(upstream, true, undefined);
+			context.tracker.recordResult(upstream, true, undefined);
 			break;
 		}
 	}
 };
 
-const isBreak = (end: AttemptEnd): boolean =>
-	(end.kind === 'spoiled' || end.kind === 'failed') && ['ECONNRESET', 'EPIPE', 'closed', 'cut'].includes(end.reason);
+/** Whether the connection was lost before the end of the answer, as it is when the upstream crashes. */
+const isConnectionLoss = (outcome: AttemptOutcome): boolean =>
+	(outcome.kind === 'spoiled' || outcome.kind === 'failed') && ['ECONNRESET', 'EPIPE', 'closed', 'cut'].includes(outcome.reason);
 
-/** Sends a call to one upstream and delivers what it answers. */
-export const attemptUpstream = async (call: Call, progress: Progress, {candidate, load}: Place, tools: Tools): Promise<AttemptEnd> => {
+/** Sends a call to one upstream and delivers its answer. */
+export const attemptUpstream = async (call: Call, progress: Progress, {candidate, load}: Assignment, context: ForwarderContext): Promise<AttemptOutcome> => {
 	const {upstream, uncachedTokens} = candidate;
 	const key = getUpstreamKey(upstream);
 	const {prompt} = call.head;
 	progress.choice = {
-		waited: Math.round(tools.clock.monotonic() - call.arrivedAt),
+		waited: Math.round(context.clock.monotonic() - call.arrivedAt),
 		backlog: Math.round(candidate.backlog),
 		running: candidate.load.running,
 		unreadTokens: candidate.load.unreadTokens,
 		uncachedTokens,
 		rereadTokens: candidate.rereadTokens,
 	};
-	const exchange = tools.board.startExchange(upstream);
-	const attempt: Try = {
-		call, progress, upstream, tools, load, exchange, startedAt: tools.clock.monotonic(),
+	const exchange = context.tracker.startExchange(upstream);
+	const attempt: Attempt = {
+		call, progress, upstream, context, load, exchange, startedAt: context.clock.monotonic(),
 	};
 	if (prompt !== undefined) {
-		tools.board.addReading(key, prompt);
-		tools.notes.addReading({upstream: key, model: prompt.model, parts: prompt.parts});
+		context.tracker.recordPrefill(key, prompt);
+		context.reports.addReading({upstream: key, model: prompt.model, parts: prompt.parts});
 	}
 
-	const service = tools.view.getRoutes()?.services.get(call.service);
-	const connections = Math.max(4, Math.floor((service?.mostConnections ?? 64) * 0.9 / tools.countHosts()));
-	const {outcome, cancel} = send(buildOutgoing(call, progress, upstream, tools), {
-		agent: tools.board.getAgent(upstream, call.route.kind, connections), protocol: tools.protocol, clock: tools.clock,
+	const service = context.view.getRoutes()?.services.get(call.service);
+	// Each host uses an equal part of the service's connection limit, less 10 %.
+	const connections = Math.max(4, Math.floor((service?.mostConnections ?? 64) * 0.9 / context.countHosts()));
+	const {outcome, cancel} = send(buildUpstreamRequest(call, progress, upstream, context), {
+		agent: context.tracker.getAgent(upstream, call.route.kind, connections), protocol: context.protocol, clock: context.clock,
 	});
 	progress.cancel = cancel;
-	const stopWatching = watchSilence(attempt, candidate.load.unreadTokens + uncachedTokens, cancel);
-	const end = await deliver(attempt, await outcome);
+	const stopWatching = watchForSilence(attempt, candidate.load.unreadTokens + uncachedTokens, cancel);
+	const attemptOutcome = await handleSendOutcome(attempt, await outcome);
 	stopWatching();
 	exchange.end();
 	load.end();
-	const isEnded = progress.isOver || progress.isCallerGone;
-	if (!isEnded) {
-		applyEnd(attempt, end, tools.clock.monotonic() - attempt.startedAt);
+	const isAbandoned = progress.hasTimedOut || progress.isCallerGone;
+	if (!isAbandoned) {
+		recordOutcome(attempt, attemptOutcome, context.clock.monotonic() - attempt.startedAt);
 	}
 
-	if (!isEnded && isBreak(end)) {
-		void reportCrash(call, upstream, tools);
+	if (!isAbandoned && isConnectionLoss(attemptOutcome)) {
+		void reportCrash(call, upstream, context);
 	}
 
-	return end;
+	return attemptOutcome;
 };
--- a/packages/forwarder/src/call.ts
+++ b/packages/forwarder/src/call.ts
@@ -6,10 +6,10 @@
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import type {CallerHead} from './protocol.js';
 
-/** A request that was read whole and may go to an upstream. */
+/** An admitted request whose body was read completely. */
 export type Call = {
 	method: string;
-	/** Path with query. */
+	/** Request target: path with query. */
 	target: string;
 	head: CallerHead;
 	body: Uint8Array;
@@ -17,65 +17,67 @@
 	service: string;
 	customer: KeyHolder | undefined;
 	rank: Rank;
-	isRepeatable: boolean;
+	/** Whether another upstream may run the request again, or resume its stream, after one may have executed it. */
+	isRetryable: boolean;
 	response: ServerResponse;
-	/** Version of the configuration that decided the route. */
+	/** Version of the configuration that the route was taken from. */
 	version: number;
 	arrivedAt: Milliseconds;
-	/** Moment of the final answer at the latest, by the route's timeout and the caller's patience. */
-	endsAt: Milliseconds;
+	/** Latest time of the final answer, from the route's timeout and the caller's; on the monotonic clock, as `arrivedAt`. */
+	deadline: Milliseconds;
 };
 
-/** What has happened to a call so far. */
+/** State of a call while it is forwarded. */
 export type Progress = {
-	sends: number;
+	/** Attempts that reached an upstream. */
+	attempts: number;
 	/** Upstreams that were tried. */
 	tried: Set<UpstreamKey>;
-	/** Sends that may have run. */
-	upstreamsRun: number;
-	/** Last event delivered to the caller, in a stream. */
+	/** Attempts that may have executed the request. */
+	possibleExecutions: number;
+	/** Id of the last stream event delivered to the caller. */
 	lastEvent: number | undefined;
 	isCallerGone: boolean;
-	isOver: boolean;
-	/** What decided the last choice of an upstream. */
+	hasTimedOut: boolean;
+	/** Factors of the last choice of an upstream, as logged. */
 	choice: {waited: Milliseconds; backlog: Milliseconds; running: number; unreadTokens: number; uncachedTokens: number; rereadTokens: number} | undefined;
-	/** When the last upstream's first bytes came, and its last ones. */
-	firstAt: Milliseconds | undefined;
-	lastAt: Milliseconds | undefined;
-	/** Longest time between pieces of a stream. */
-	longestPause: Milliseconds;
-	/** Ends the send under way. */
+	/** When the last upstream's first and last chunks of a stream arrived. */
+	firstBytesAt: Milliseconds | undefined;
+	lastBytesAt: Milliseconds | undefined;
+	/** Longest time between chunks of a stream. */
+	maxChunkGap: Milliseconds;
+	/** Cancels the queueing or the attempt in progress. */
 	cancel: (() => void) | undefined;
 };
 
-const fingerprintDigits = 20;
+const fingerprintHexDigits = 20;
 
-/** Gets a digest that is the same for each copy of the request by the same caller. */
+/** Returns a digest that is equal for all copies of a request by one caller. */
 export const getFingerprint = ({method, target, head, body}: Call): string =>
-	createHash('sha256').update(`${method} ${target}\n${head.key ?? ''}\n`).update(body).digest('hex').slice(0, fingerprintDigits);
+	createHash('sha256').update(`${method} ${target}\n${head.key ?? ''}\n`).update(body).digest('hex').slice(0, fingerprintHexDigits);
 
-/** What a call is made of, apart from what follows from it. */
-export type CallParts = Omit<Call, 'rank' | 'isRepeatable' | 'endsAt'>;
+/** Fields of a call, without those derived from them. */
+export type CallParts = Omit<Call, 'rank' | 'isRetryable' | 'deadline'>;
 
-/** Completes a call. */
+/** Creates a call with its derived fields. */
 export const createCall = (parts: CallParts): Call => ({
 	...parts,
 	rank: parts.customer?.rank ?? parts.route.rank,
-	isRepeatable: isRepeatable(parts.route),
-	endsAt: parts.arrivedAt + Math.min(parts.route.timeout, parts.head.patience ?? parts.route.timeout),
+	isRetryable: isRepeatable(parts.route),
+	deadline: parts.arrivedAt + Math.min(parts.route.timeout, parts.head.patience ?? parts.route.timeout),
 });
 
-/** Creates the progress of a call that was sent nowhere yet. */
+/** Creates the state of a call without attempts. */
 export const createProgress = (): Progress => ({
-	sends: 0,
+	attempts: 0,
 	tried: new Set(),
-	upstreamsRun: 0,
+	possibleExecutions: 0,
 	lastEvent: undefined,
 	isCallerGone: false,
-	isOver: false,
+	hasTimedOut: false,
 	choice: undefined,
-	firstAt: undefined,
-	lastAt: undefined,
-	longestPause: 0,
+	firstBytesAt: undefined,
+	lastBytesAt: undefined,
+	maxChunkGap: 0,
 	cancel: undefined,
 });
--- /dev/null
+++ b/packages/forwarder/src/context.ts
@@ -0,0 +1,34 @@
+import type {Clock, Random} from '@gentianlift/clock';
+import type {FleetView, NoteExchange} from '@gentianlift/discovery';
+import type {Logger} from '@gentianlift/logger';
+import type {Metrics} from '@gentianlift/metrics';
+import type {CrashSuspects, RetryBound} from '@gentianlift/routing';
+import type {Milliseconds, Zone} from '@gentianlift/types';
+import type {CrashDetector} from './crash-detector.js';
+import type {Protocol} from './protocol.js';
+import type {UpstreamTracker} from './upstream-tracker.js';
+
+/** Dependencies shared by the modules of the forwarder. */
+export type ForwarderContext = {
+	clock: Clock;
+	random: Random;
+	logger: Logger;
+	metrics: Metrics;
+	protocol: Protocol;
+	zone: Zone;
+	view: FleetView;
+	/** Exchange of load reports and events with the other hosts. */
+	reports: NoteExchange;
+	tracker: UpstreamTracker;
+	/** Requests that were running on upstreams when these crashed. */
+	suspects: CrashSuspects;
+	crashDetector: CrashDetector;
+	/** Bound on retries; updated in place when the settings are reloaded. */
+	retryBound: RetryBound;
+	/** Returns the number of hosts that share fleet-wide limits, including this one. */
+	countHosts: () => number;
+	/** Whether the host is in a graceful shutdown. */
+	isStopping: () => boolean;
+	/** Whether the host accepts a request that may last for `timeout`. */
+	canAccept: (timeout: Milliseconds) => boolean;
+};
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -1,7 +1,7 @@
 import type {ServerResponse} from 'node:http';
 import {createEventSplitter, type StreamEvent} from './event-splitter.js';
 import type {Progress} from './call.js';
-import {isWhole, type Incoming} from './incoming.js';
+import {isComplete, type Incoming} from './incoming.js';
 import type {AnswerHead} from './protocol.js';
 
 /** How the delivery of a stream ended: `cut` before its end, `broken` if it can't go on without a gap or repeat. */
@@ -14,38 +14,38 @@
 	response: ServerResponse;
 	progress: Progress;
 	/** Whether only whole events go on, so that another upstream can continue after the last. */
-	keepsEvents: boolean;
+	isResumable: boolean;
 	/** Whether the connection is closed after the answer. */
-	isLast: boolean;
+	isClosing: boolean;
 	/** Called once, with the first bytes. */
-	onFirst: () => void;
+	onFirstBytes: () => void;
 };
 
 /** Writes the head of an upstream's answer to the caller. */
-export const writeAnswerHead = (response: ServerResponse, {status, forwarded}: AnswerHead, isLast: boolean): void => {
-	response.writeHead(status, [...forwarded, ...(isLast ? ['Connection', 'close'] : [])]);
+export const writeAnswerHead = (response: ServerResponse, {status, forwarded}: AnswerHead, isClosing: boolean): void => {
+	response.writeHead(status, [...forwarded, ...(isClosing ? ['Connection', 'close'] : [])]);
 };
 
 /** Events that go on to the caller: those it has not had. Undefined if one is missing before them. */
 const getNewEvents = (events: readonly StreamEvent[], progress: Progress): StreamEvent[] | undefined => {
-	const fresh: StreamEvent[] = [];
+	const newEvents: StreamEvent[] = [];
 	for (const event of events) {
 		const last = progress.lastEvent;
 		if (event.id === undefined || last === undefined || event.id === last + 1) {
-			fresh.push(event);
+			newEvents.push(event);
 			progress.lastEvent = event.id ?? last;
 		} else if (event.id > last) {
 			return undefined;
 		}
 	}
 
-	return fresh;
+	return newEvents;
 };
 
 /** Delivers a stream as it comes, no faster than the caller reads. */
 export const deliverStream = async (delivery: StreamDelivery): Promise<Delivery> => new Promise(resolve => {
 	const {
-		head, answer, response, progress, keepsEvents,
+		head, answer, response, progress, isResumable,
 	} = delivery;
 	const {message} = answer;
 	const splitter = createEventSplitter();
@@ -53,7 +53,7 @@
 
 	const write = (bytes: Uint8Array): void => {
 		if (!response.headersSent) {
-			writeAnswerHead(response, head, delivery.isLast);
+			writeAnswerHead(response, head, delivery.isClosing);
 		}
 
 		if (!response.write(bytes)) {
@@ -80,17 +80,17 @@
 	message.on('data', (chunk: Uint8Array) => {
 		if (!hasStarted) {
 			hasStarted = true;
-			delivery.onFirst();
+			delivery.onFirstBytes();
 		}
 
-		if (keepsEvents) {
+		if (isResumable) {
 			writeEvents(chunk);
 		} else {
 			write(chunk);
 		}
 	});
 	message.once('end', () => {
-		const hasEnded = isWhole(answer) && !(keepsEvents && splitter.hasPartial());
+		const hasEnded = isComplete(answer) && !(isResumable && splitter.hasPartial());
 		resolve(hasEnded ? {kind: 'complete'} : {kind: 'cut', reason: 'incomplete'});
 	});
 	message.once('error', (error: Error & {code?: string}) => {
--- a/packages/forwarder/src/own-answer.ts
+++ b/packages/forwarder/src/error-answer.ts
@@ -7,7 +7,7 @@
 import type {CallerHead, Protocol} from './protocol.js';
 
 /** An answer of the router itself. */
-export type OwnAnswer = {
+export type ErrorAnswer = {
 	kind: ErrorKind;
 	/** What is known of the request, where it differs from the kind's. */
 	ran?: RunState;
@@ -21,17 +21,17 @@
 	protocol: Protocol;
 	caller: CallerHead | undefined;
 	/** Whether the connection is closed after the answer. */
-	isLast: boolean;
+	isClosing: boolean;
 };
 
 const millisecondsPerSecond = 1000;
-const decimals = 3;
+const retryAfterDecimals = 3;
 
 const getRetryHeader = (retryAfter: Milliseconds | undefined): string[] =>
-	retryAfter === undefined ? [] : ['Retry-After', (retryAfter / millisecondsPerSecond).toFixed(decimals)];
+	retryAfter === undefined ? [] : ['Retry-After', (retryAfter / millisecondsPerSecond).toFixed(retryAfterDecimals)];
 
 /** Writes an error answer and ends it. */
-export const writeOwnAnswer = ({response, protocol, caller, isLast}: AnswerTarget, {kind, ran, retryAfter}: OwnAnswer): void => {
+export const writeErrorAnswer = ({response, protocol, caller, isClosing}: AnswerTarget, {kind, ran, retryAfter}: ErrorAnswer): void => {
 	const detail = {...(ran !== undefined && {ran}), ...(retryAfter !== undefined && {retryAfter})};
 	const body = Buffer.from(JSON.stringify(getErrorBody(createFailure(kind, detail), caller?.attempt ?? '')));
 	const headers = [
@@ -41,7 +41,7 @@
 		String(body.length),
 		...getRetryHeader(retryAfter),
 		...protocol.writeOwnHead(caller),
-		...(isLast ? ['Connection', 'close'] : []),
+		...(isClosing ? ['Connection', 'close'] : []),
 	];
 	response.writeHead(errorTable[kind].status, headers);
 	response.end(body);
--- a/packages/forwarder/src/event-splitter.ts
+++ b/packages/forwarder/src/event-splitter.ts
@@ -11,27 +11,27 @@
 	hasPartial: () => boolean;
 };
 
-const boundary = '\n\n';
+const eventEnd = '\n\n';
 const idLine = /^id:\s?(?<id>\d+)\s*$/mv;
 
 /** Creates a splitter for one answer. */
 export const createEventSplitter = (): EventSplitter => {
-	let held = Buffer.alloc(0);
+	let buffered = Buffer.alloc(0);
 	return {
 		push(chunk) {
-			held = held.length === 0 ? Buffer.from(chunk) : Buffer.concat([held, chunk]);
+			buffered = buffered.length === 0 ? Buffer.from(chunk) : Buffer.concat([buffered, chunk]);
 			const events: StreamEvent[] = [];
 			let start = 0;
-			for (let end = held.indexOf(boundary); end !== -1; end = held.indexOf(boundary, start)) {
-				const bytes = held.subarray(start, end + boundary.length);
+			for (let end = buffered.indexOf(eventEnd); end !== -1; end = buffered.indexOf(eventEnd, start)) {
+				const bytes = buffered.subarray(start, end + eventEnd.length);
 				const id = idLine.exec(bytes.toString('latin1'))?.groups?.id;
 				events.push({id: id === undefined ? undefined : Number(id), bytes});
-				start = end + boundary.length;
+				start = end + eventEnd.length;
 			}
 
-			held = held.subarray(start);
+			buffered = buffered.subarray(start);
 			return events;
 		},
-		hasPartial: () => held.length > 0,
+		hasPartial: () => buffered.length > 0,
 	};
 };
--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -2,11 +2,11 @@
 import type {Socket} from 'node:net';
 import {expect, onTestFinished, test} from 'vitest';
 import {
-	answerOk, breakOff, configuration, reject, signed, createStart, sum, type Answer,
+	answerOk, resetConnection, configuration, rejectUnexecuted, signed, createHostStarter, sum, type AnswerHandler,
 } from './test-deployment.js';
 import {sendRequest, startTestHost} from './testing.js';
 
-const start = createStart(onTestFinished);
+const start = createHostStarter(onTestFinished);
 
 test('an answer goes back as the upstream gave it', async () => {
 	const {host} = await start(answerOk);
@@ -16,21 +16,21 @@
 });
 
 test('what was not run goes to another upstream, also a booking', async () => {
-	const {host, counts} = await start(reject, reject, answerOk);
+	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted, answerOk);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer.status).toBe(200);
 	expect(counts[2]).toBe(1);
 });
 
 test('a booking that may have run is not sent again, and its caller is not told that it has not run', async () => {
-	const {host, counts} = await start(breakOff, breakOff);
+	const {host, counts} = await start(resetConnection, resetConnection);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer.status).toBe(502);
 	expect(sum(counts)).toBe(1);
 });
 
 /** An upstream that forgets connections that rested, and resets what comes on them. */
-const createForgetful = (memory: number): Answer => {
+const createForgetful = (memory: number): AnswerHandler => {
 	const restSince = new WeakMap<Socket, number>();
 	return (call, response) => {
 		const rested = performance.now() - (restSince.get(call.socket) ?? performance.now());
@@ -50,7 +50,7 @@
 	const {host} = await start(createForgetful(300));
 	for (const pause of [0, 400, 20, 600]) {
 		// eslint-disable-next-line no-await-in-loop -- Each booking follows on the one before.
-		await host.tools.clock.sleep(pause);
+		await host.context.clock.sleep(pause);
 		// eslint-disable-next-line no-await-in-loop -- As above.
 		expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: `p${pause}`}})).toMatchObject({status: 200});
 	}
@@ -65,7 +65,7 @@
 });
 
 test('rejections by all upstreams are refused truly, with a time to come back', async () => {
-	const {host} = await start(reject, reject);
+	const {host} = await start(rejectUnexecuted, rejectUnexecuted);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer).toMatchObject({status: 503, headers: {'retry-after': '0.500'}});
 	expect(answer.body).toContain('"ran":"not-run"');
@@ -77,14 +77,14 @@
 });
 
 test('an idempotent request that failed or broke runs on one more upstream, no more', async () => {
-	const {host, counts} = await start(breakOff, breakOff, breakOff);
+	const {host, counts} = await start(resetConnection, resetConnection, resetConnection);
 	expect(await sendRequest(host.port, {path: '/read/1', method: 'GET'})).toMatchObject({status: 502});
 	expect(sum(counts)).toBe(2);
 });
 
 test('an upstream that refuses connections costs no send', async () => {
 	const {host} = await start(answerOk);
-	const [sound] = host.tools.view.getUpstreams('s');
+	const [sound] = host.context.view.getUpstreams('s');
 	host.setUpstreams([{...sound!, id: 'gone', address: '127.0.0.1:1'}, {...sound!, id: 'gone2', address: '127.0.0.1:1'}, sound!]);
 	for (let count = 0; count < 5; count++) {
 		// eslint-disable-next-line no-await-in-loop -- One after the other.
@@ -94,7 +94,7 @@
 
 test('an upstream that is leaving gets nothing', async () => {
 	const {host, counts} = await start(answerOk, answerOk);
-	const [one, other] = host.tools.view.getUpstreams('s');
+	const [one, other] = host.context.view.getUpstreams('s');
 	host.setUpstreams([{...one!, isLeaving: true}, other!]);
 	for (let count = 0; count < 6; count++) {
 		// eslint-disable-next-line no-await-in-loop -- One after the other.
@@ -132,7 +132,7 @@
 const stream = {...signed, 'content-type': 'text/event-stream'};
 
 /** Breaks off in the middle of event 3, and goes on after the last event that the caller has. */
-const breakMidway: Answer = (request, response) => {
+const breakMidway: AnswerHandler = (request, response) => {
 	const last = request.headers['last-event'];
 	response.writeHead(200, stream);
 	if (last === undefined) {
@@ -217,9 +217,9 @@
 });
 
 test('each call leaves a line with its id, what decided it and its outcome', async () => {
-	const {host} = await start(reject, answerOk);
+	const {host} = await start(rejectUnexecuted, answerOk);
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a77'}});
-	const lines = host.lines.filter(line => line.includes('request=a77'));
+	const lines = host.logLines.filter(line => line.includes('request=a77'));
 	expect(lines.at(-1)).toMatch(/event=call-ended .*route=book .*version=1 .*outcome=delivered/v);
 });
 
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -4,164 +4,170 @@
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import {attemptUpstream} from './attempt.js';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptOutcome} from './attempt-outcome.js';
 import {
 	createProgress, getFingerprint, type Call, type Progress,
 } from './call.js';
-import {writeHeldAnswer} from './deliver-whole.js';
-import {writeOwnAnswer, type OwnAnswer} from './own-answer.js';
-import type {Tools} from './tools.js';
-import {createWaitingLine} from './waiting-line.js';
+import {writeBufferedAnswer} from './deliver-buffered.js';
+import {writeErrorAnswer, type ErrorAnswer} from './error-answer.js';
+import type {ForwarderContext} from './context.js';
+import {createRequestQueue} from './request-queue.js';
 
-/** Sends calls to upstreams until one answers or nothing more may be tried. */
+/** Sends each call to upstreams until one answers or no further attempt is allowed. */
 export type Forwarder = {
-	/** Resolves when the caller has its final answer, or has gone. */
+	/** Forwards a call; resolves when the final answer was written or the caller has disconnected. */
 	forward: (call: Call) => Promise<void>;
-	/** Takes in that the load of upstreams has changed. */
-	applyLoad: () => void;
+	/** Rechecks queued calls after the load of upstreams has changed. */
+	onLoadChange: () => void;
 };
 
-/** When a caller may come back after no upstream could take its request. */
+/** Retry-After of answers to requests that no upstream could take. */
 const retryDelay: Milliseconds = 500;
 
-/** How a call ended, for the log. */
+/** How a call ended, as logged. */
 type CallEnd = {outcome: string; reason?: string};
 
 /** Creates a forwarder. */
-export const createForwarder = (tools: Tools): Forwarder => {
-	const {clock, logger, metrics} = tools;
-	const line = createWaitingLine(tools);
+export const createForwarder = (context: ForwarderContext): Forwarder => {
+	const {clock, logger, metrics} = context;
+	const queue = createRequestQueue(context);
 	const budgets = new Map<string, RetryBudget>();
 
-	const getBudget = (service: string): RetryBudget => {
-		const known = budgets.get(service);
-		if (known !== undefined) {
-			return known;
+	const getRetryBudget = (service: string): RetryBudget => {
+		const existing = budgets.get(service);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const budget = createRetryBudget(tools.retryBound);
+		const budget = createRetryBudget(context.retryBound);
 		budgets.set(service, budget);
 		return budget;
 	};
 
-	const answer = (call: Call, own: OwnAnswer): CallEnd => {
+	/** Writes an error answer, or closes the connection if an answer has already begun. */
+	const answerWithError = (call: Call, errorAnswer: ErrorAnswer): CallEnd => {
 		const {response, head} = call;
 		if (response.headersSent) {
-			// A cut connection is the only way to say that the answer is incomplete.
+			// Closing the connection is the only way to signal that the answer is incomplete.
 			response.destroy();
-			return {outcome: 'cut', reason: own.kind};
+			return {outcome: 'cut', reason: errorAnswer.kind};
 		}
 
-		writeOwnAnswer({
-			response, protocol: tools.protocol, caller: head, isLast: tools.isStopping(),
-		}, own);
-		return {outcome: 'own-answer', reason: own.kind};
+		writeErrorAnswer({
+			response, protocol: context.protocol, caller: head, isClosing: context.isStopping(),
+		}, errorAnswer);
+		return {outcome: 'own-answer', reason: errorAnswer.kind};
 	};
 
-	/** Gets the final answer of a call that no upstream will take any more. */
-	const getFinalAnswer = (progress: Progress, kind: ErrorKind): OwnAnswer =>
-		progress.upstreamsRun > 0 ? {kind: 'upstream-reset', ran: 'unknown'} : {kind, retryAfter: retryDelay};
+	/** Returns the error for a call without further attempts; after an attempt that may have executed, it must not claim the opposite. */
+	const getFinalError = (progress: Progress, kind: ErrorKind): ErrorAnswer =>
+		progress.possibleExecutions > 0 ? {kind: 'upstream-reset', ran: 'unknown'} : {kind, retryAfter: retryDelay};
 
-	const giveUp = (call: Call, progress: Progress, end: AttemptEnd | undefined): CallEnd => {
-		if (end?.kind === 'failed' && end.held !== undefined && !call.response.headersSent) {
-			writeHeldAnswer(call, end.held, tools.isStopping());
-			return {outcome: 'upstream-failure', reason: end.reason};
+	/** Ends a call without further attempts, with the last upstream's own error answer if there is one. */
+	const giveUp = (call: Call, progress: Progress, lastOutcome: AttemptOutcome | undefined): CallEnd => {
+		if (lastOutcome?.kind === 'failed' && lastOutcome.buffered !== undefined && !call.response.headersSent) {
+			writeBufferedAnswer(call, lastOutcome.buffered, context.isStopping());
+			return {outcome: 'upstream-failure', reason: lastOutcome.reason};
 		}
 
-		return answer(call, getFinalAnswer(progress, end === undefined ? 'no-upstream' : 'upstream-refused'));
+		return answerWithError(call, getFinalError(progress, lastOutcome === undefined ? 'no-upstream' : 'upstream-refused'));
 	};
 
-	const mayResend = (call: Call, progress: Progress, end: Exclude<AttemptEnd, {kind: 'delivered'}>): boolean => {
-		if (end.kind === 'spoiled') {
+	/** Decides whether to try another upstream; while no attempt has reached an upstream, the retry budget isn't charged. */
+	const decideRetry = (call: Call, progress: Progress, lastOutcome: Exclude<AttemptOutcome, {kind: 'delivered'}>): boolean => {
+		if (lastOutcome.kind === 'spoiled') {
 			return false;
 		}
 
 		const decision = decideResend({
-			isNotRun: end.kind !== 'failed',
-			isRepeatable: call.isRepeatable,
-			upstreamsRun: progress.upstreamsRun,
+			isNotRun: lastOutcome.kind !== 'failed',
+			isRepeatable: call.isRetryable,
+			upstreamsRun: progress.possibleExecutions,
 			mostUpstreams: call.route.mostUpstreams,
-			sends: progress.sends,
-			timeLeft: call.endsAt - clock.monotonic(),
+			sends: progress.attempts,
+			timeLeft: call.deadline - clock.monotonic(),
 		});
-		const isAllowed = decision.kind === 'resend' && (progress.sends === 0 || getBudget(call.service).take(clock.monotonic(), tools.countHosts()));
+		const isAllowed = decision.kind === 'resend' && (progress.attempts === 0 || getRetryBudget(call.service).take(clock.monotonic(), context.countHosts()));
 		const outcome = decision.kind === 'stop' ? decision.reason : (isAllowed ? 'resend' : 'budget');
 		metrics.count('resend_decisions_total', {outcome});
 		logger.info('attempt-failed', {
-			request: call.head.attempt, upstream: [...progress.tried].at(-1), kind: end.kind, reason: end.reason, decision: outcome,
+			request: call.head.attempt, upstream: [...progress.tried].at(-1), kind: lastOutcome.kind, reason: lastOutcome.reason, decision: outcome,
 		});
 		return isAllowed;
 	};
 
-	const countSend = (progress: Progress, end: AttemptEnd): void => {
-		progress.sends += end.kind === 'unreachable' ? 0 : 1;
-		progress.upstreamsRun += end.kind === 'failed' || end.kind === 'spoiled' ? 1 : 0;
+	const countAttempt = (progress: Progress, lastOutcome: AttemptOutcome): void => {
+		progress.attempts += lastOutcome.kind === 'unreachable' ? 0 : 1;
+		progress.possibleExecutions += lastOutcome.kind === 'failed' || lastOutcome.kind === 'spoiled' ? 1 : 0;
 	};
 
+	/** Whether copies of the request are suspected of crashing upstreams. */
 	const isBlocked = (call: Call): boolean =>
-		!tools.suspects.isEmpty() && tools.suspects.isBlocked(getFingerprint(call), clock.monotonic());
+		!context.suspects.isEmpty() && context.suspects.isBlocked(getFingerprint(call), clock.monotonic());
 
-	/** A request that ran to its end did not crash its upstream. */
+	/** Clears a suspected request that has run to its end without crashing its upstream. */
 	const clearSuspect = (call: Call): void => {
-		if (tools.suspects.isEmpty()) {
+		if (context.suspects.isEmpty()) {
 			return;
 		}
 
 		const fingerprint = getFingerprint(call);
-		if (tools.suspects.clear(fingerprint)) {
-			tools.notes.addCleared(fingerprint);
+		if (context.suspects.clear(fingerprint)) {
+			context.reports.addCleared(fingerprint);
 		}
 	};
 
+	/** Makes attempts until the call has ended. */
 	const run = async (call: Call, progress: Progress): Promise<CallEnd> => {
-		let last: AttemptEnd | undefined;
+		let lastOutcome: AttemptOutcome | undefined;
 		for (;;) {
 			if (progress.isCallerGone) {
 				return {outcome: 'caller-gone'};
 			}
 
 			if (isBlocked(call)) {
-				return answer(call, {kind: 'suspected-of-crashes'});
+				return answerWithError(call, {kind: 'suspected-of-crashes'});
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- One upstream after the other.
-			const place = await line.enter(call, progress);
-			if (place === undefined) {
-				const isEnded = progress.isOver || progress.isCallerGone;
-				return isEnded ? {outcome: progress.isOver ? 'timeout' : 'caller-gone'} : giveUp(call, progress, last);
+			// eslint-disable-next-line no-await-in-loop -- Upstreams are tried one at a time.
+			const assignment = await queue.enqueue(call, progress);
+			if (assignment === undefined) {
+				const hasEnded = progress.hasTimedOut || progress.isCallerGone;
+				return hasEnded ? {outcome: progress.hasTimedOut ? 'timeout' : 'caller-gone'} : giveUp(call, progress, lastOutcome);
 			}
 
-			progress.tried.add(getUpstreamKey(place.candidate.upstream));
-			// eslint-disable-next-line no-await-in-loop -- One upstream after the other.
-			last = await attemptUpstream(call, progress, place, tools);
-			line.advance();
-			countSend(progress, last);
-			if (last.kind === 'delivered') {
+			progress.tried.add(getUpstreamKey(assignment.candidate.upstream));
+			// eslint-disable-next-line no-await-in-loop -- Upstreams are tried one at a time.
+			lastOutcome = await attemptUpstream(call, progress, assignment, context);
+			queue.requestDispatch();
+			countAttempt(progress, lastOutcome);
+			if (lastOutcome.kind === 'delivered') {
 				clearSuspect(call);
-				return {outcome: 'delivered', reason: String(last.status)};
+				return {outcome: 'delivered', reason: String(lastOutcome.status)};
 			}
 
-			if (progress.isOver || progress.isCallerGone) {
-				return {outcome: progress.isOver ? 'timeout' : 'caller-gone'};
+			if (progress.hasTimedOut || progress.isCallerGone) {
+				return {outcome: progress.hasTimedOut ? 'timeout' : 'caller-gone'};
 			}
 
-			if (!mayResend(call, progress, last)) {
-				return giveUp(call, progress, last);
+			if (!decideRetry(call, progress, lastOutcome)) {
+				return giveUp(call, progress, lastOutcome);
 			}
 		}
 	};
 
-	const endOnTime = (call: Call, progress: Progress): void => {
-		progress.isOver = true;
+	/** Answers a call that has reached its deadline, and cancels its queueing or its attempt. */
+	const endOnTimeout = (call: Call, progress: Progress): void => {
+		progress.hasTimedOut = true;
 		const isUnsent = progress.tried.size === 0;
-		answer(call, isUnsent ? {kind: 'deadline-unreachable', retryAfter: retryDelay} : {kind: 'request-timeout', ran: 'unknown'});
+		answerWithError(call, isUnsent ? {kind: 'deadline-unreachable', retryAfter: retryDelay} : {kind: 'request-timeout', ran: 'unknown'});
 		progress.cancel?.();
 	};
 
-	/** Ends work for a caller that has gone, except where it could not be done again. */
-	const applyDeparture = (call: Call, progress: Progress): void => {
+	/** Cancels the attempt of a caller that has disconnected, except a request that is neither retryable nor a stream. */
+	const handleCallerDisconnect = (call: Call, progress: Progress): void => {
 		progress.isCallerGone = true;
-		if (call.isRepeatable || call.route.kind === 'streaming') {
+		if (call.isRetryable || call.route.kind === 'streaming') {
 			progress.cancel?.();
 		}
 	};
@@ -178,9 +184,9 @@
 			version: call.version,
 			upstream: [...progress.tried].at(-1),
 			...progress.choice,
-			first: progress.firstAt === undefined ? undefined : Math.round(progress.firstAt - call.arrivedAt),
-			pause: progress.lastAt === undefined ? undefined : Math.round(progress.longestPause),
-			sends: progress.sends,
+			first: progress.firstBytesAt === undefined ? undefined : Math.round(progress.firstBytesAt - call.arrivedAt),
+			pause: progress.lastBytesAt === undefined ? undefined : Math.round(progress.maxChunkGap),
+			sends: progress.attempts,
 			outcome: end.outcome,
 			reason: end.reason,
 			duration: Math.round(duration),
@@ -188,17 +194,17 @@
 	};
 
 	return {
-		applyLoad: line.advance,
+		onLoadChange: queue.requestDispatch,
 		async forward(call) {
 			const progress = createProgress();
 			progress.lastEvent = call.head.lastEvent;
-			getBudget(call.service).addRequest(clock.monotonic());
-			const cancelTimer = clock.after(Math.max(0, call.endsAt - clock.monotonic()), () => {
-				endOnTime(call, progress);
+			getRetryBudget(call.service).addRequest(clock.monotonic());
+			const cancelTimer = clock.after(Math.max(0, call.deadline - clock.monotonic()), () => {
+				endOnTimeout(call, progress);
 			});
 			call.response.once('close', () => {
 				if (!call.response.writableFinished) {
-					applyDeparture(call, progress);
+					handleCallerDisconnect(call, progress);
 				}
 			});
 			const end = await run(call, progress);
--- a/packages/forwarder/src/guards.test.ts
+++ b/packages/forwarder/src/guards.test.ts
@@ -1,11 +1,11 @@
 import {expect, onTestFinished, test} from 'vitest';
 import {getFingerprint, type Call} from './call.js';
 import {
-	answerOk, reject, signed, createStart, sum,
+	answerOk, rejectUnexecuted, signed, createHostStarter, sum,
 } from './test-deployment.js';
 import {sendRequest} from './testing.js';
 
-const start = createStart(onTestFinished);
+const start = createHostStarter(onTestFinished);
 
 const getCrashes = (fingerprint: string): Array<{fingerprint: string; upstream: string}> =>
 	['x@1', 'y@1', 'z@1'].map(upstream => ({fingerprint, upstream}));
@@ -16,7 +16,7 @@
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
 	};
 	for (const crash of getCrashes(getFingerprint(call as unknown as Call))) {
-		host.tools.suspects.add(crash, performance.now());
+		host.context.suspects.add(crash, performance.now());
 	}
 
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 500});
@@ -30,15 +30,15 @@
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
 	};
 	const [crash] = getCrashes(getFingerprint(call as unknown as Call));
-	host.tools.suspects.add(crash!, performance.now());
+	host.context.suspects.add(crash!, performance.now());
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
-	await expect.poll(() => host.tools.suspects.isEmpty()).toBe(true);
+	await expect.poll(() => host.context.suspects.isEmpty()).toBe(true);
 });
 
 test('resends stop with the retry budget', async () => {
-	const {host, counts} = await start(reject, reject);
-	host.tools.retryBound.minimum = 0;
-	host.tools.retryBound.ratio = 0;
+	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted);
+	host.context.retryBound.minimum = 0;
+	host.context.retryBound.ratio = 0;
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 503});
 	expect(sum(counts)).toBe(1);
 });
--- a/packages/forwarder/src/incoming.ts
+++ b/packages/forwarder/src/incoming.ts
@@ -11,7 +11,7 @@
  * Tells whether a message that has ended is whole. Without a length its end is that of its connection,
  * and Node takes a reset for an end too.
  */
-export const isWhole = ({message, hasFailed}: Incoming): boolean => {
+export const isComplete = ({message, hasFailed}: Incoming): boolean => {
 	const hasLength = message.headers['content-length'] !== undefined || message.headers['transfer-encoding'] !== undefined;
 	return message.complete && (hasLength || !hasFailed());
 };
--- a/packages/forwarder/src/read-body.ts
+++ b/packages/forwarder/src/read-body.ts
@@ -1,5 +1,5 @@
 import {Buffer} from 'node:buffer';
-import {isWhole, type Incoming} from './incoming.js';
+import {isComplete, type Incoming} from './incoming.js';
 
 /** How reading a body ended; `broken` if its connection broke off before its end. */
 export type Body
@@ -22,7 +22,7 @@
 		chunks.push(chunk);
 	});
 	message.once('end', () => {
-		resolve(isWhole(incoming) ? {kind: 'whole', bytes: Buffer.concat(chunks)} : {kind: 'broken', reason: 'cut'});
+		resolve(isComplete(incoming) ? {kind: 'whole', bytes: Buffer.concat(chunks)} : {kind: 'broken', reason: 'cut'});
 	});
 	message.once('error', (error: Error & {code?: string}) => {
 		resolve({kind: 'broken', reason: error.code ?? error.message});
--- /dev/null
+++ b/packages/forwarder/src/request-load.ts
@@ -0,0 +1,43 @@
+import type {CausedLoad, NoteExchange} from '@gentianlift/discovery';
+import type {UpstreamKey} from '@gentianlift/routing';
+
+/** The load that a request adds to its upstream. */
+export type RequestLoad = {
+	/** Records that the prefill of the prompt is complete. */
+	finishPrefill: () => void;
+	/** Records that the request has ended. */
+	end: () => void;
+};
+
+const noChange: CausedLoad = {
+	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0,
+};
+
+/** Adds to the number of prompt tokens queued at this host for an upstream, as reported to the other hosts. */
+export const addQueuedTokens = (reports: Pick<NoteExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
+	reports.addLoad(upstream, {...noChange, awaitedTokens: queuedTokens});
+};
+
+/** Adds a request to the load of an upstream; `latencySensitive` is 1 if prefills of long prompts beside it would make it miss its target. */
+export const startRequestLoad = (reports: Pick<NoteExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
+	let unread = unreadTokens;
+	const add = (change: Partial<CausedLoad>): void => {
+		reports.addLoad(upstream, {...noChange, ...change});
+	};
+
+	add({running: 1, unreadTokens, delicate: latencySensitive});
+	const finishPrefill = (): void => {
+		if (unread > 0) {
+			add({unreadTokens: -unread});
+			unread = 0;
+		}
+	};
+
+	return {
+		finishPrefill,
+		end() {
+			finishPrefill();
+			add({running: -1, delicate: -latencySensitive});
+		},
+	};
+};
--- a/packages/forwarder/src/waiting-line.test.ts
+++ b/packages/forwarder/src/request-queue.test.ts
@@ -11,9 +11,9 @@
 import {
 	createCall, createProgress, type Call, type Progress,
 } from './call.js';
-import type {Tools} from './tools.js';
-import {createUpstreamBoard, type UpstreamBoard} from './upstream-board.js';
-import {createWaitingLine, type Place, type WaitingLine} from './waiting-line.js';
+import type {ForwarderContext} from './context.js';
+import {createUpstreamTracker, type UpstreamTracker} from './upstream-tracker.js';
+import {createRequestQueue, type Assignment, type RequestQueue} from './request-queue.js';
 
 const question = buildRoute({name: 'question', rank: 0, target: 300});
 const review = buildRoute({
@@ -27,8 +27,8 @@
 type Bench = {
 	clock: ManualClock;
 	loads: LoadBook;
-	board: UpstreamBoard;
-	line: WaitingLine;
+	board: UpstreamTracker;
+	line: RequestQueue;
 	/** Looks at all upstreams for one call, which take `lookTime` each. */
 	looks: {count: number; time: Milliseconds};
 };
@@ -37,7 +37,7 @@
 	const clock = createManualClock(1000);
 	const loads = createLoadBook();
 	const logger = createSilentLogger();
-	const board = createUpstreamBoard({clock, logger, loads});
+	const board = createUpstreamTracker({clock, logger, loads});
 	const view = createFleetView({
 		logger,
 		decode({key}) {
@@ -52,7 +52,7 @@
 		},
 	};
 	const looks = {count: 0, time: 0};
-	const countedBoard: UpstreamBoard = {
+	const countedBoard: UpstreamTracker = {
 		...board,
 		getCandidates(...parameters) {
 			looks.count += 1;
@@ -60,11 +60,11 @@
 			return board.getCandidates(...parameters);
 		},
 	};
-	const tools: Pick<Tools, 'clock' | 'view' | 'board' | 'metrics' | 'notes' | 'random' | 'zone'> = {
-		clock, view, board: countedBoard, metrics: createMetrics(), notes: notes as NoteExchange, random: createRandom(1), zone: 'a',
+	const context: Pick<ForwarderContext, 'clock' | 'view' | 'tracker' | 'metrics' | 'reports' | 'random' | 'zone'> = {
+		clock, view, tracker: countedBoard, metrics: createMetrics(), reports: notes as NoteExchange, random: createRandom(1), zone: 'a',
 	};
 	return {
-		clock, loads, board, looks, line: createWaitingLine(tools as Tools),
+		clock, loads, board, looks, line: createRequestQueue(context as ForwarderContext),
 	};
 };
 
@@ -88,10 +88,10 @@
 });
 
 /** Enters a call and notes its name once it is placed. */
-const enter = ({clock, line}: Bench, {route, name, tokens}: {route: Route; name: string; tokens: number}, placed: string[]): {progress: Progress; place: Promise<Place | undefined>} => {
+const enter = ({clock, line}: Bench, {route, name, tokens}: {route: Route; name: string; tokens: number}, placed: string[]): {progress: Progress; place: Promise<Assignment | undefined>} => {
 	const progress = createProgress();
-	const waiting = async (): Promise<Place | undefined> => {
-		const place = await line.enter(buildCall(clock, route, name, tokens), progress);
+	const waiting = async (): Promise<Assignment | undefined> => {
+		const place = await line.enqueue(buildCall(clock, route, name, tokens), progress);
 		placed.push(place === undefined ? `no ${name}` : name);
 		return place;
 	};
@@ -128,7 +128,7 @@
 	const from = bench.clock.monotonic();
 	// Each note of another host tells a new load.
 	for (let note = 0; note < 800; note++) {
-		bench.line.advance();
+		bench.line.requestDispatch();
 		// eslint-disable-next-line no-await-in-loop -- One note after another.
 		await bench.clock.advance(1);
 	}
@@ -146,7 +146,7 @@
 	await bench.clock.advance(50);
 	expect(placed).toEqual(['review-0']);
 	const place = await first.place;
-	place?.load.finishReading();
+	place?.load.finishPrefill();
 	await bench.clock.advance(20);
 	expect(placed).toEqual(['review-0', 'review-1']);
 });
@@ -200,16 +200,16 @@
 
 const service = configuration.services[0]!;
 const upstreams = [buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})];
-const getCandidateIds = (board: UpstreamBoard): string[] => board.getCandidates(upstreams, service, undefined).map(({upstream}) => upstream.id);
+const getCandidateIds = (board: UpstreamTracker): string[] => board.getCandidates(upstreams, service, undefined).map(({upstream}) => upstream.id);
 
 test('an upstream that can not be reached gets nothing for a while, unless all are so', async () => {
 	const {clock, board} = createBench(upstreams);
-	board.applyUnreachable(upstreams[0]!, 'test');
+	board.recordUnreachable(upstreams[0]!, 'test');
 	expect(getCandidateIds(board)).toEqual(['u2']);
-	board.applyUnreachable(upstreams[1]!, 'test');
+	board.recordUnreachable(upstreams[1]!, 'test');
 	expect(getCandidateIds(board)).toEqual(['u1', 'u2']);
 	await clock.advance(500);
-	board.applyUnreachable(upstreams[0]!, 'test');
+	board.recordUnreachable(upstreams[0]!, 'test');
 	await clock.advance(500);
 	expect(getCandidateIds(board)).toEqual(['u2']);
 });
@@ -219,7 +219,7 @@
 	const exchange = board.startExchange(upstreams[0]!);
 	await clock.advance(800);
 	expect(getCandidateIds(board)).toEqual(['u2']);
-	exchange.applyBytes();
+	exchange.recordBytes();
 	expect(getCandidateIds(board)).toEqual(['u1', 'u2']);
 	await clock.advance(800);
 	exchange.end();
--- a/packages/forwarder/src/send.ts
+++ b/packages/forwarder/src/send.ts
@@ -6,62 +6,63 @@
 import type {AnswerHead, Protocol, RawHeaders} from './protocol.js';
 import type {UpstreamAgent} from './upstream-agent.js';
 
-/** A request as it goes to one upstream. */
-export type Outgoing = {
+/** A request as it is sent to one upstream. */
+export type UpstreamRequest = {
 	upstream: Upstream;
 	method: string;
 	/** Path with query, as the caller sent it. */
 	target: string;
 	headers: RawHeaders;
 	body: Uint8Array;
-	/** Id that the answer has to bear, if it bears one. */
+	/** Id of the attempt; an answer that names another one is rejected. */
 	attempt: string | undefined;
-	/** Longest time to wait for the head of the answer. */
-	headLimit: Milliseconds;
+	/** Longest wait for the head of the answer. */
+	headTimeout: Milliseconds;
 };
 
-/** How a request fared at an upstream up to the head of its answer. */
+/** Outcome of a request up to the head of its answer. */
 export type SendOutcome
-	/** No connection: the upstream has seen nothing of it. */
+	/** No connection was established, so the upstream has received nothing. */
 	= | {kind: 'unreachable'; reason: string}
-	/** The upstream says that it has not run it. */
+	/** The upstream states that it has not executed the request. */
 		| {kind: 'rejected'; status: number}
-	/** It may have run; no answer to it will come. */
+	/** The connection failed or the answer is invalid; the request may have executed. */
 		| {kind: 'broken'; reason: string}
+	/** The head of the answer didn't arrive in time; the request may have executed. */
 		| {kind: 'silent'}
 		| {kind: 'answered'; head: AnswerHead; answer: Incoming};
 
-/** A request under way at an upstream. */
-export type Send = {
+/** A request in flight at an upstream. */
+export type InFlightRequest = {
 	outcome: Promise<SendOutcome>;
-	/** Ends it and closes its connection, so that the upstream drops it. */
+	/** Aborts the request and closes its connection, so that the upstream stops working on it. */
 	cancel: () => void;
 };
 
-/** What a send works with. */
-export type SendTools = {agent: UpstreamAgent; protocol: Protocol; clock: Clock};
+/** Dependencies of a send. */
+export type SendOptions = {agent: UpstreamAgent; protocol: Protocol; clock: Clock};
 
-/** Longest time to establish a connection inside a region. */
-const connectLimit: Milliseconds = 400;
+/** Longest time to establish a connection within a region. */
+const connectTimeout: Milliseconds = 400;
 
-const getReason = (error: Error & {code?: string}): string => error.code ?? error.message;
+const getErrorReason = (error: Error & {code?: string}): string => error.code ?? error.message;
 
-const open = ({upstream, method, target, headers}: Outgoing, agent: UpstreamAgent): ClientRequest =>
+const openRequest = ({upstream, method, target, headers}: UpstreamRequest, agent: UpstreamAgent): ClientRequest =>
 	request({
 		...splitAddress(upstream.address), agent, method, path: target, headers: [...headers],
 	});
 
-/** Drains an answer that isn't used, so that its connection can be. */
+/** Drains an unused answer, so that its connection can be reused. */
 const discard = (message: IncomingMessage): void => {
 	message.on('error', () => undefined);
 	message.resume();
 };
 
-/** Gets the meaning of an answer's head; closes connections whose answer can't be the request's. */
-const judge = (answer: Incoming, head: AnswerHead, attempt: string | undefined): SendOutcome => {
+/** Classifies an answer by its head; closes the connection of an answer to another attempt and of an unsigned success. */
+const classifyAnswer = (answer: Incoming, head: AnswerHead, attempt: string | undefined): SendOutcome => {
 	const {message} = answer;
-	const isForeign = head.attempt !== undefined && attempt !== undefined && head.attempt !== attempt;
-	if (isForeign) {
+	const isMismatched = head.attempt !== undefined && attempt !== undefined && head.attempt !== attempt;
+	if (isMismatched) {
 		message.destroy();
 		return {kind: 'broken', reason: 'answer-of-another-request'};
 	}
@@ -80,24 +81,24 @@
 	return {kind: 'answered', head, answer};
 };
 
-/** Sends a request to an upstream. */
-export const send = (outgoing: Outgoing, {agent, protocol, clock}: SendTools): Send => {
-	const exchange = open(outgoing, agent);
+/** Sends a request to an upstream; it counts as unreachable until the connection is established. */
+export const send = (upstreamRequest: UpstreamRequest, {agent, protocol, clock}: SendOptions): InFlightRequest => {
+	const exchange = openRequest(upstreamRequest, agent);
 	let isConnected = false;
 	let hasFailed = false;
 	const outcome = new Promise<SendOutcome>(resolve => {
-		const cancelConnect = clock.after(connectLimit, () => {
+		const cancelConnectTimer = clock.after(connectTimeout, () => {
 			if (!isConnected) {
 				exchange.destroy(new Error('connect-timeout'));
 			}
 		});
-		const cancelHead = clock.after(outgoing.headLimit, () => {
+		const cancelHeadTimer = clock.after(upstreamRequest.headTimeout, () => {
 			resolve({kind: 'silent'});
 			exchange.destroy();
 		});
 		const finish = (result: SendOutcome): void => {
-			cancelConnect();
-			cancelHead();
+			cancelConnectTimer();
+			cancelHeadTimer();
 			resolve(result);
 		};
 
@@ -111,20 +112,20 @@
 			}
 		});
 		exchange.once('response', message => {
-			agent.noteAnswer(message.socket, message);
+			agent.recordAnswer(message.socket, message);
 			const {socket} = message;
 			const answer = {message, hasFailed: () => hasFailed || agent.wasReset(socket)};
-			finish(judge(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), outgoing.attempt));
+			finish(classifyAnswer(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), upstreamRequest.attempt));
 		});
 		exchange.on('error', error => {
 			hasFailed = true;
-			finish({kind: isConnected ? 'broken' : 'unreachable', reason: getReason(error)});
+			finish({kind: isConnected ? 'broken' : 'unreachable', reason: getErrorReason(error)});
 		});
 		exchange.once('close', () => {
 			finish({kind: isConnected ? 'broken' : 'unreachable', reason: 'closed'});
 		});
 	});
-	exchange.end(outgoing.body);
+	exchange.end(upstreamRequest.body);
 	return {
 		outcome,
 		cancel() {
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -9,21 +9,21 @@
 import type {Milliseconds} from '@gentianlift/types';
 import {createCall} from './call.js';
 import type {Forwarder} from './forward.js';
-import {writeOwnAnswer, type OwnAnswer} from './own-answer.js';
+import {writeErrorAnswer, type ErrorAnswer} from './error-answer.js';
 import type {CallerHead} from './protocol.js';
 import {readBody, type Body} from './read-body.js';
-import type {Tools} from './tools.js';
+import type {ForwarderContext} from './context.js';
 
 /** The listener of callers. */
 export type CallerServer = {
 	server: Server;
 	/** Number of requests without a final answer. */
-	countOpen: () => number;
+	countOpenRequests: () => number;
 };
 
 /** What the listener works with. */
 export type CallerServerOptions = {
-	tools: Tools;
+	context: ForwarderContext;
 	forwarder: Forwarder;
 	/** Reads the newest state of the fleet, where it can be reached. */
 	refresh: () => Promise<void>;
@@ -35,31 +35,31 @@
 		| {kind: 'refused'; error: Extract<ErrorKind, 'not-configured' | 'host-overloaded' | 'host-stopping' | 'unknown-path' | 'wrong-key' | 'missing-key'>};
 
 /** Size of headers above which a connection is refused before the configured limit is looked at. */
-const mostHeaderBytes = 64 * 1024;
+const maxHeaderBytes = 64 * 1024;
 /** Time beyond the configured idle limit for which a connection is kept. */
-const idleMargin: Milliseconds = 2000;
-const connectionsCheck: Milliseconds = 1000;
+const keepAliveMargin: Milliseconds = 2000;
+const connectionsCheckInterval: Milliseconds = 1000;
 /** Longest time for a request with its body to arrive. */
-const arrivalLimit: Milliseconds = 30_000;
+const requestTimeout: Milliseconds = 30_000;
 /** Requests without a final answer; each takes two connections and its body's memory. */
-const mostOpen = 1500;
+const maxOpenRequests = 1500;
 /** When to come back, to a host without a configuration or to another host. */
-const retryDelays: Partial<Record<ErrorKind, Milliseconds>> = {'not-configured': 500, 'host-overloaded': 200, 'host-stopping': 20};
+const retryAfterDelays: Partial<Record<ErrorKind, Milliseconds>> = {'not-configured': 500, 'host-overloaded': 200, 'host-stopping': 20};
 /** Longest wait for the newest state before a refusal that it might lift. */
-const refreshLimit: Milliseconds = 400;
+const refreshTimeout: Milliseconds = 400;
 /** Age up to which the state counts as the newest. */
-const freshFor: Milliseconds = 200;
+const maxFreshAge: Milliseconds = 200;
 /** Age of other hosts' word up to which it confirms the state. */
-const confirmedFor: Milliseconds = 600;
+const maxConfirmationAge: Milliseconds = 600;
 
-const clientErrors: Record<string, string> = {
+const clientErrorStatuses: Record<string, string> = {
 	HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
 	ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
 
 const answerClientError = (error: Error & {code?: string}, socket: Socket): void => {
 	if (socket.writable && error.code !== 'ECONNRESET') {
-		socket.end(`HTTP/1.1 ${clientErrors[error.code ?? ''] ?? '400 Bad Request'}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
+		socket.end(`HTTP/1.1 ${clientErrorStatuses[error.code ?? ''] ?? '400 Bad Request'}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
 	} else {
 		socket.destroy();
 	}
@@ -68,14 +68,14 @@
 const getHeaderBytes = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
 
 /** Creates the listener; it listens when told to. */
-export const createCallerServer = ({tools, forwarder, refresh}: CallerServerOptions): CallerServer => {
-	const {clock, view, protocol, logger, metrics} = tools;
-	let open = 0;
-	let refreshing: Promise<void> | undefined;
+export const createCallerServer = ({context, forwarder, refresh}: CallerServerOptions): CallerServer => {
+	const {clock, view, protocol, logger, metrics} = context;
+	let openRequests = 0;
+	let pendingRefresh: Promise<void> | undefined;
 	let refreshedAt = Number.NEGATIVE_INFINITY;
 
 	const admit = (head: CallerHead, target: string): Admission => {
-		if (open > mostOpen) {
+		if (openRequests > maxOpenRequests) {
 			return {kind: 'refused', error: 'host-overloaded'};
 		}
 
@@ -89,7 +89,7 @@
 			return {kind: 'refused', error: 'unknown-path'};
 		}
 
-		if (!tools.mayTake(route.timeout)) {
+		if (!context.canAccept(route.timeout)) {
 			return {kind: 'refused', error: 'host-stopping'};
 		}
 
@@ -98,7 +98,7 @@
 			return {kind: 'refused', error: head.key === undefined ? 'missing-key' : 'wrong-key'};
 		}
 
-		const destination = drawDestination(route.destinations, tools.random);
+		const destination = drawDestination(route.destinations, context.random);
 		const customer = caller.kind === 'customer' ? caller.customer : undefined;
 		return destination === undefined
 			? {kind: 'refused', error: 'unknown-path'}
@@ -110,51 +110,51 @@
 	/** Whether the state was confirmed lately, by the key-value service or by other hosts that know no newer one. */
 	const isFresh = (): boolean => {
 		const now = clock.monotonic();
-		const isConfirmed = tools.notes.getNewestRevision() <= view.getRevision() && tools.notes.getShortestSilence() < confirmedFor;
-		return isConfirmed || now - refreshedAt < freshFor || view.getSilence(now) < freshFor;
+		const isConfirmed = context.reports.getNewestRevision() <= view.getRevision() && context.reports.getShortestSilence() < maxConfirmationAge;
+		return isConfirmed || now - refreshedAt < maxFreshAge || view.getSilence(now) < maxFreshAge;
 	};
 
-	const refreshOnce = async (): Promise<void> => {
+	const refreshIfStale = async (): Promise<void> => {
 		if (isFresh()) {
 			return;
 		}
 
-		refreshing ??= (async () => {
+		pendingRefresh ??= (async () => {
 			await refresh();
 			refreshedAt = clock.monotonic();
-			refreshing = undefined;
+			pendingRefresh = undefined;
 		})();
-		await Promise.race([refreshing, clock.sleep(refreshLimit)]);
+		await Promise.race([pendingRefresh, clock.sleep(refreshTimeout)]);
 	};
 
 	/** A refusal is final for the caller, so that the newest configuration is asked for before it. */
-	const admitSurely = async (head: CallerHead, target: string): Promise<Admission> => {
+	const admitWithRefresh = async (head: CallerHead, target: string): Promise<Admission> => {
 		const first = admit(head, target);
 		if (first.kind === 'admitted' || errorTable[first.error].status === 503) {
 			return first;
 		}
 
-		await refreshOnce();
+		await refreshIfStale();
 		return admit(head, target);
 	};
 
-	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, own: OwnAnswer): void => {
+	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, own: ErrorAnswer): void => {
 		metrics.count('refusals_total', {reason: own.kind});
 		logger.info('call-refused', {
 			request: head.attempt, reason: own.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
 			age: Math.round(view.getSilence(clock.monotonic())),
 		});
-		writeOwnAnswer({
-			response, protocol, caller: head, isLast: tools.isStopping() || own.kind === 'body-too-large',
+		writeErrorAnswer({
+			response, protocol, caller: head, isClosing: context.isStopping() || own.kind === 'body-too-large',
 		}, own);
 	};
 
-	const getRefusal = (body: Body, admission: Admission, headers: readonly string[], limits: CallerLimits | undefined): OwnAnswer | undefined => {
+	const getRefusal = (body: Body, admission: Admission, headers: readonly string[], limits: CallerLimits | undefined): ErrorAnswer | undefined => {
 		if (body.kind === 'too-large') {
 			return {kind: 'body-too-large'};
 		}
 
-		if (getHeaderBytes(headers) > (limits?.mostHeaderBytes ?? mostHeaderBytes)) {
+		if (getHeaderBytes(headers) > (limits?.mostHeaderBytes ?? maxHeaderBytes)) {
 			return {kind: 'headers-too-large'};
 		}
 
@@ -162,13 +162,13 @@
 			return undefined;
 		}
 
-		const retryAfter = retryDelays[admission.error];
+		const retryAfter = retryAfterDelays[admission.error];
 		return {kind: admission.error, ...(retryAfter !== undefined && {retryAfter})};
 	};
 
 	const applyLimits = (server: Server, limits: CallerLimits): void => {
 		server.headersTimeout = limits.headerTimeout;
-		server.keepAliveTimeout = limits.idleTimeout + idleMargin;
+		server.keepAliveTimeout = limits.idleTimeout + keepAliveMargin;
 	};
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -176,9 +176,9 @@
 		const head = protocol.readCallerHead(request.rawHeaders);
 		const target = request.url ?? '/';
 		const limits = view.getRoutes()?.configuration.limits;
-		const reading = readBody({message: request, hasFailed: () => false}, limits?.mostBodyBytes ?? Number.POSITIVE_INFINITY);
-		const admission = await admitSurely(head, target);
-		const body = await reading;
+		const pendingBody = readBody({message: request, hasFailed: () => false}, limits?.mostBodyBytes ?? Number.POSITIVE_INFINITY);
+		const admission = await admitWithRefresh(head, target);
+		const body = await pendingBody;
 		if (body.kind === 'broken') {
 			logger.info('call-broken', {request: head.attempt, reason: body.reason});
 			response.destroy();
@@ -207,7 +207,7 @@
 	};
 
 	const handleSafely = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-		open += 1;
+		openRequests += 1;
 		response.on('error', error => {
 			logger.debug('caller-write-failed', {reason: error.message});
 		});
@@ -222,12 +222,12 @@
 			logger.error('call-failed', {target: request.url, reason: (error as Error).stack ?? String(error)});
 			response.destroy();
 		} finally {
-			open -= 1;
+			openRequests -= 1;
 		}
 	};
 
 	const server = createServer({
-		maxHeaderSize: mostHeaderBytes, connectionsCheckingInterval: connectionsCheck, requestTimeout: arrivalLimit, noDelay: true,
+		maxHeaderSize: maxHeaderBytes, connectionsCheckingInterval: connectionsCheckInterval, requestTimeout, noDelay: true,
 	}, (request, response) => {
 		void handleSafely(request, response);
 	});
@@ -235,5 +235,5 @@
 	server.on('clientError', (error: Error & {code?: string}, socket) => {
 		answerClientError(error, socket as Socket);
 	});
-	return {server, countOpen: () => open};
+	return {server, countOpenRequests: () => openRequests};
 };
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -8,14 +8,14 @@
 import type {
 	Address, Entry, HostId, Milliseconds, Zone,
 } from '@gentianlift/types';
-import {createCrashWatch} from './crash-watch.js';
+import {createCrashDetector} from './crash-detector.js';
 import {createForwarder} from './forward.js';
 import {listen} from './listen.js';
 import type {Protocol} from './protocol.js';
 import {createCallerServer} from './serve-callers.js';
-import {mayTakeRequest, stopHost} from './stop-host.js';
-import type {Tools} from './tools.js';
-import {createUpstreamBoard} from './upstream-board.js';
+import {canAcceptRequest, stopHost} from './stop-host.js';
+import type {ForwarderContext} from './context.js';
+import {createUpstreamTracker} from './upstream-tracker.js';
 
 /** Settings of a host. */
 export type HostSettings = {
@@ -39,7 +39,7 @@
 };
 
 /** What a host works with, beside its settings. */
-export type HostParts = {
+export type HostDependencies = {
 	clock: Clock;
 	logger: Logger;
 	store: FleetStore;
@@ -64,13 +64,13 @@
 };
 
 /** Longest time for which callers are told to keep a list of addresses; short, so that they leave a host soon. */
-const longestOfferLife: Milliseconds = 1000;
+const maxAddressListTtl: Milliseconds = 1000;
 /** Callers may keep a list for this many times its life. */
-const lifeFactor = 3;
+const staleUseFactor = 3;
 /** Seeds of random numbers are below this. */
 const seedRange = 2 ** 31;
 
-const getRecord = (settings: HostSettings, incarnation: number): HostRecord => ({
+const buildHostRecord = (settings: HostSettings, incarnation: number): HostRecord => ({
 	host: settings.host,
 	incarnation,
 	zone: settings.zone,
@@ -82,16 +82,16 @@
 });
 
 /** Says how far a graceful shutdown has come. */
-type Shutdown = {since: Milliseconds | undefined; grace: Milliseconds};
+type Shutdown = {since: Milliseconds | undefined; gracePeriod: Milliseconds};
 
-const createTools = (settings: HostSettings, {clock, logger, store, decode, protocol}: HostParts, shutdown: Shutdown, onLoad: () => void): {tools: Tools; fleet: Fleet} => {
+const createContext = (settings: HostSettings, {clock, logger, store, decode, protocol}: HostDependencies, shutdown: Shutdown, onLoad: () => void): {context: ForwarderContext; fleet: Fleet} => {
 	const random = createRandom(clock.now() % seedRange);
 	const loads = createLoadBook();
-	const board = createUpstreamBoard({clock, logger, loads});
+	const board = createUpstreamTracker({clock, logger, loads});
 	const suspects = createCrashSuspects();
 	const isStopping = (): boolean => shutdown.since !== undefined;
 	const fleet = joinFleet({
-		record: getRecord(settings, clock.now()),
+		record: buildHostRecord(settings, clock.now()),
 		knownPeers: settings.knownPeers,
 		store,
 		decode,
@@ -103,11 +103,11 @@
 		isStopping,
 		onLoad,
 		onReading({upstream, model, parts}) {
-			board.addReading(upstream, {model, parts});
+			board.recordPrefill(upstream, {model, parts});
 		},
-		onRemoved: board.drop,
+		onRemoved: board.remove,
 	});
-	const tools: Tools = {
+	const context: ForwarderContext = {
 		clock,
 		random,
 		logger,
@@ -115,28 +115,28 @@
 		protocol,
 		zone: settings.zone,
 		view: fleet.view,
-		notes: fleet.notes,
-		board,
+		reports: fleet.notes,
+		tracker: board,
 		suspects,
-		crashes: createCrashWatch(clock),
+		crashDetector: createCrashDetector(clock),
 		retryBound: {...settings.retryBound},
 		countHosts: fleet.countHosts,
 		isStopping,
-		mayTake: timeout => shutdown.since === undefined || mayTakeRequest(clock.monotonic() - shutdown.since, shutdown.grace, timeout),
+		canAccept: timeout => shutdown.since === undefined || canAcceptRequest(clock.monotonic() - shutdown.since, shutdown.gracePeriod, timeout),
 	};
-	return {tools, fleet};
+	return {context, fleet};
 };
 
 /** Starts a host: joins the fleet and listens to callers and other hosts. Rejects if an address can't be used. */
-export const startHost = async (settings: HostSettings, parts: HostParts): Promise<Host> => {
+export const startHost = async (settings: HostSettings, parts: HostDependencies): Promise<Host> => {
 	const {clock, logger} = parts;
-	const shutdown: Shutdown = {since: undefined, grace: settings.grace};
-	let offerLife = Math.min(settings.addressLife, longestOfferLife);
-	const {tools, fleet} = createTools(settings, parts, shutdown, () => {
-		forwarder.applyLoad();
+	const shutdown: Shutdown = {since: undefined, gracePeriod: settings.grace};
+	let offerLife = Math.min(settings.addressLife, maxAddressListTtl);
+	const {context, fleet} = createContext(settings, parts, shutdown, () => {
+		forwarder.onLoadChange();
 	});
-	const forwarder = createForwarder(tools);
-	const callers = createCallerServer({tools, forwarder, refresh: fleet.refresh});
+	const forwarder = createForwarder(context);
+	const callers = createCallerServer({context, forwarder, refresh: fleet.refresh});
 	await Promise.all([listen(callers.server, settings.callers), listen(createViewServer(fleet.view), settings.peers)]);
 	logger.info('started', {host: settings.host, zone: settings.zone, callers: settings.callers});
 
@@ -151,11 +151,11 @@
 		get offerLife() {
 			return offerLife;
 		},
-		getMetricsPage: tools.metrics.getPage,
+		getMetricsPage: context.metrics.getPage,
 		reload(next) {
-			shutdown.grace = next.grace;
-			offerLife = Math.min(next.addressLife, longestOfferLife);
-			Object.assign(tools.retryBound, next.retryBound);
+			shutdown.gracePeriod = next.grace;
+			offerLife = Math.min(next.addressLife, maxAddressListTtl);
+			Object.assign(context.retryBound, next.retryBound);
 			logger.info('reloaded', {
 				grace: next.grace, offerLife, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
 			});
@@ -167,7 +167,7 @@
 
 			shutdown.since = clock.monotonic();
 			await stopHost({
-				clock, logger, grace: shutdown.grace, addressLife: offerLife * lifeFactor, countOpen: callers.countOpen, announce, release: fleet.registration.end,
+				clock, logger, gracePeriod: shutdown.gracePeriod, addressTtl: offerLife * staleUseFactor, countOpenRequests: callers.countOpenRequests, announce, release: fleet.registration.end,
 			});
 		},
 	};
--- a/packages/forwarder/src/stop-host.test.ts
+++ b/packages/forwarder/src/stop-host.test.ts
@@ -1,7 +1,7 @@
 import {createManualClock} from '@gentianlift/clock';
 import {createSilentLogger} from '@gentianlift/logger';
 import {expect, test} from 'vitest';
-import {mayTakeRequest, stopHost} from './stop-host.js';
+import {canAcceptRequest, stopHost} from './stop-host.js';
 
 const grace = 8000;
 
@@ -10,7 +10,7 @@
 	const state = {open: 1, isStopped: false, calls: [] as string[]};
 	const stopped = (async () => {
 		await stopHost({
-			clock, logger: createSilentLogger(), grace, addressLife: 3000, countOpen: () => state.open,
+			clock, logger: createSilentLogger(), gracePeriod: grace, addressTtl: 3000, countOpenRequests: () => state.open,
 			async announce() {
 				state.calls.push('announce');
 			},
@@ -49,8 +49,8 @@
 });
 
 test('a host that stops takes what callers send before they can know, and later only what fits', () => {
-	expect(mayTakeRequest(2000, grace, 10_000)).toBe(true);
-	expect(mayTakeRequest(5300, grace, 10_000)).toBe(false);
-	expect(mayTakeRequest(5300, grace, 1200)).toBe(true);
-	expect(mayTakeRequest(7500, grace, 1200)).toBe(false);
+	expect(canAcceptRequest(2000, grace, 10_000)).toBe(true);
+	expect(canAcceptRequest(5300, grace, 10_000)).toBe(false);
+	expect(canAcceptRequest(5300, grace, 1200)).toBe(true);
+	expect(canAcceptRequest(7500, grace, 1200)).toBe(false);
 });
--- a/packages/forwarder/src/test-deployment.ts
+++ b/packages/forwarder/src/test-deployment.ts
@@ -19,29 +19,29 @@
 });
 
 /** How an upstream answers. */
-export type Answer = (request: IncomingMessage, response: ServerResponse) => void;
+export type AnswerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
 /** Headers of an answer that bears the upstream mark. */
 export const signed = {signed: '1'};
 /** Answers with the id of the attempt. */
-export const answerOk: Answer = (request, response) => {
+export const answerOk: AnswerHandler = (request, response) => {
 	response.writeHead(200, {...signed, attempt: request.headers.attempt ?? ''});
 	response.end('ok');
 };
 
 /** Says that the request was not run. */
-export const reject: Answer = (_, response) => {
+export const rejectUnexecuted: AnswerHandler = (_, response) => {
 	response.writeHead(503, {'not-run': '1'});
 	response.end();
 };
 
 /** Resets the connection. */
-export const breakOff: Answer = request => {
+export const resetConnection: AnswerHandler = request => {
 	request.socket.resetAndDestroy();
 };
 
 /** Creates a function that starts a host with one upstream for each way to answer, and counts the requests that each got. */
-export const createStart = (onFinished: (close: () => void) => void) => async (...answers: Answer[]): Promise<{host: TestHost; counts: number[]}> => {
+export const createHostStarter = (onFinished: (close: () => void) => void) => async (...answers: AnswerHandler[]): Promise<{host: TestHost; counts: number[]}> => {
 	const host = await startTestHost(configuration);
 	const counts = answers.map(() => 0);
 	const started = await Promise.all(answers.map(async (answer, index) => startUpstream(`u${index}`, (request, response) => {
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -11,18 +11,18 @@
 import {
 	createCrashSuspects, type RoutingConfiguration, type Upstream,
 } from '@gentianlift/routing';
-import {createCrashWatch} from './crash-watch.js';
+import {createCrashDetector} from './crash-detector.js';
 import {createForwarder} from './forward.js';
 import type {Protocol, RawHeaders} from './protocol.js';
 import {createCallerServer} from './serve-callers.js';
-import type {Tools} from './tools.js';
-import {createUpstreamBoard} from './upstream-board.js';
+import type {ForwarderContext} from './context.js';
+import {createUpstreamTracker} from './upstream-tracker.js';
 
 /** A host with its listener of callers, for tests. */
 export type TestHost = {
 	port: number;
-	tools: Tools;
-	lines: string[];
+	context: ForwarderContext;
+	logLines: string[];
 	loads: LoadBook;
 	/** Replaces the upstreams that the host knows. */
 	setUpstreams: (upstreams: readonly Upstream[]) => void;
@@ -114,8 +114,8 @@
 	close: () => undefined,
 });
 
-const createView = (tools: Pick<Tools, 'logger'>, configuration: RoutingConfiguration, upstreams: Map<string, Upstream>): FleetView => createFleetView({
-	logger: tools.logger,
+const createView = (context: Pick<ForwarderContext, 'logger'>, configuration: RoutingConfiguration, upstreams: Map<string, Upstream>): FleetView => createFleetView({
+	logger: context.logger,
 	decode({key}) {
 		const upstream = upstreams.get(key);
 		return upstream === undefined ? {kind: 'configuration', configuration} : {kind: 'upstream', upstream};
@@ -141,7 +141,7 @@
 	};
 
 	setEntries();
-	const tools: Tools = {
+	const context: ForwarderContext = {
 		clock,
 		random: createRandom(1),
 		logger,
@@ -149,21 +149,21 @@
 		protocol,
 		zone: 'a',
 		view,
-		notes: createNotes(loads),
-		board: createUpstreamBoard({clock, logger, loads}),
+		reports: createNotes(loads),
+		tracker: createUpstreamTracker({clock, logger, loads}),
 		suspects: createCrashSuspects(),
-		crashes: createCrashWatch(clock),
+		crashDetector: createCrashDetector(clock),
 		retryBound: {ratio: 0.2, minimum: 54, window: 10_000},
 		countHosts: () => 1,
 		isStopping: () => isStopping,
-		mayTake: () => !isStopping,
+		canAccept: () => !isStopping,
 	};
-	const {server} = createCallerServer({tools, forwarder: createForwarder(tools), refresh});
+	const {server} = createCallerServer({context, forwarder: createForwarder(context), refresh});
 	const port = await listenOnAnyPort(server);
 	return {
 		port,
-		tools,
-		lines,
+		context,
+		logLines: lines,
 		loads,
 		setUpstreams(next) {
 			upstreams.clear();
--- a/packages/forwarder/src/upstream-agent.ts
+++ b/packages/forwarder/src/upstream-agent.ts
@@ -6,17 +6,17 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Idle times after which a connection isn't used again, unless the upstream names a shorter one. */
-export const idleLimits = {
-	usual: 8000,
+export const idleTimeouts = {
+	normal: 8000,
 	/** For requests that can't be sent again: an upstream may have forgotten a connection that rested for longer. */
 	short: 150,
 } as const;
 /** Time before the upstream's own limit at which an idle connection is closed, so that no request crosses its close. */
-const idleMargin: Milliseconds = 1000;
-const keepAliveTimeout = /timeout=(?<seconds>\d+)/v;
+const idleCloseMargin: Milliseconds = 1000;
+const keepAliveTimeoutPattern = /timeout=(?<seconds>\d+)/v;
 
 /** The answer under way on a connection; undefined while a request waits for one. */
-type Progress = {
+type ConnectionState = {
 	message: IncomingMessage | undefined;
 	isIdle: boolean;
 	idleTimer: NodeJS.Timeout | undefined;
@@ -24,10 +24,10 @@
 	isReset: boolean;
 };
 
-const getIdleLimit = (message: IncomingMessage | undefined, longest: Milliseconds): Milliseconds => {
+const getIdleTimeout = (message: IncomingMessage | undefined, maxTimeout: Milliseconds): Milliseconds => {
 	const header = message?.headers['keep-alive'];
-	const seconds = typeof header === 'string' ? keepAliveTimeout.exec(header)?.groups?.seconds : undefined;
-	return seconds === undefined ? longest : Math.min(longest, (Number(seconds) * 1000) - idleMargin);
+	const seconds = typeof header === 'string' ? keepAliveTimeoutPattern.exec(header)?.groups?.seconds : undefined;
+	return seconds === undefined ? maxTimeout : Math.min(maxTimeout, (Number(seconds) * 1000) - idleCloseMargin);
 };
 
 /**
@@ -35,11 +35,11 @@
  * what follows on it could be taken for the answer to another request.
  */
 export class UpstreamAgent extends Agent {
-	readonly #progress = new WeakMap<Duplex, Progress>();
+	readonly #progress = new WeakMap<Duplex, ConnectionState>();
 
 	readonly #idleLimit: Milliseconds;
 
-	constructor({idleLimit = idleLimits.usual, ...options}: AgentOptions & {idleLimit?: Milliseconds} = {}) {
+	constructor({idleLimit = idleTimeouts.normal, ...options}: AgentOptions & {idleLimit?: Milliseconds} = {}) {
 		super({
 			keepAlive: true, scheduling: 'lifo', maxFreeSockets: 64, ...options,
 		});
@@ -55,7 +55,7 @@
 	}
 
 	/** Tells which answer came on the request's connection, so that bytes after its end are found. */
-	noteAnswer(socket: Socket, message: IncomingMessage): void {
+	recordAnswer(socket: Socket, message: IncomingMessage): void {
 		const progress = this.#progress.get(socket);
 		if (progress !== undefined) {
 			progress.message = message;
@@ -69,7 +69,7 @@
 
 	override createConnection(options: NetConnectOpts): Socket {
 		const socket = connect({...options, noDelay: true, allowHalfOpen: true});
-		const progress: Progress = {
+		const progress: ConnectionState = {
 			message: undefined, isIdle: false, idleTimer: undefined, isReset: false,
 		};
 		this.#progress.set(socket, progress);
@@ -94,7 +94,7 @@
 	// eslint-disable-next-line @typescript-eslint/strict-void-return -- Node reads the value, as its pages say.
 	override keepSocketAlive(socket: Duplex): boolean {
 		const progress = this.#progress.get(socket);
-		const limit = getIdleLimit(progress?.message, this.#idleLimit);
+		const limit = getIdleTimeout(progress?.message, this.#idleLimit);
 		if (progress === undefined || limit <= 0 || socket.destroyed) {
 			return false;
 		}
--- /dev/null
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -0,0 +1,239 @@
+import type {Clock} from '@gentianlift/clock';
+import type {LoadBook} from '@gentianlift/discovery';
+import type {Logger} from '@gentianlift/logger';
+import {
+	addResult, chooseQuietUpstreams, createFailureRate, createPromptCache, createReadingSpeed, defaultReadingSpeed, getBacklog, getFailureShare, getPromptHome, getUpstreamKey, updateSeparation,
+	type Candidate, type FailureRate, type KeptTokens, type Prompt, type PromptCache, type ReadingSpeed, type RouteKind, type Separation, type Service, type Upstream, type UpstreamKey,
+} from '@gentianlift/routing';
+import type {Milliseconds} from '@gentianlift/types';
+import {idleTimeouts, UpstreamAgent} from './upstream-agent.js';
+
+/** Tracks the state that this host observes for each incarnation of an upstream: connections, failures, latencies and cached prefixes. */
+export type UpstreamTracker = {
+	/** Returns the connection pool for requests of a route kind; non-idempotent requests get a pool that reuses only recently used connections. */
+	getAgent: (upstream: Upstream, kind: RouteKind, connections: number) => UpstreamAgent;
+	/**
+	 * Returns the upstreams that may run a request, unreachable or silent ones only if there are no others.
+	 * `queuedTokens` are the prompt tokens that are queued at this host for each upstream.
+	 */
+	getCandidates: (upstreams: readonly Upstream[], service: Service, prompt: Prompt | undefined, queuedTokens?: ReadonlyMap<UpstreamKey, number>) => Candidate[];
+	/** Returns the prompt tokens queued at this host for an upstream, as last reported to the other hosts. */
+	getReportedQueuedTokens: (upstream: UpstreamKey) => number;
+	/** Returns the median prefill rate of the upstreams, in tokens per millisecond. */
+	getPrefillRate: (upstreams: readonly Upstream[]) => number;
+	/** Records a time to first token and the number of tokens that were prefilled in it. */
+	recordFirstToken: (upstream: Upstream, tokens: number, duration: Milliseconds) => void;
+	/** Records that an upstream prefills a prompt and has its prefix cached afterwards. */
+	recordPrefill: (upstream: UpstreamKey, prompt: Pick<Prompt, 'model' | 'parts'>) => void;
+	/** Records that an upstream refuses connections or has crashed, and avoids it for a backoff period. */
+	recordUnreachable: (upstream: Upstream, reason: string) => void;
+	/** Records that a request was sent; the returned handle reports received bytes and the end of the exchange. */
+	startExchange: (upstream: Upstream) => Exchange;
+	/** Returns the time since the upstream last sent a byte while requests of this host are in flight there; 0 if none are. */
+	getSilence: (upstream: Upstream) => Milliseconds;
+	/** Records the result of a request, and its duration if durations of its kind are comparable. */
+	recordResult: (upstream: Upstream, hasFailed: boolean, duration: Milliseconds | undefined) => void;
+	/** Forgets an incarnation that was removed, and closes its connections once their requests have ended. */
+	remove: (key: UpstreamKey) => void;
+};
+
+/** A request of this host that is in flight at an upstream. */
+export type Exchange = {recordBytes: () => void; end: () => void};
+
+/** Dependencies of a tracker. */
+export type UpstreamTrackerOptions = {clock: Clock; logger: Logger; loads: LoadBook};
+
+type UpstreamState = {
+	agent: UpstreamAgent;
+	nonIdempotentAgent: UpstreamAgent;
+	cache: PromptCache | undefined;
+	prefillRate: ReadingSpeed;
+	failures: FailureRate;
+	/** Exponential moving average of the durations of answers. */
+	meanDuration: Milliseconds | undefined;
+	/** Time on the monotonic clock before which the upstream gets no requests. */
+	avoidedUntil: Milliseconds;
+	/** Connection failures in a row. */
+	connectFailures: number;
+	/** Number of requests of this host in flight. */
+	openExchanges: number;
+	/** When the upstream last sent a byte, or when the first request in flight was sent to the idle upstream. */
+	lastByteAt: Milliseconds;
+};
+
+/** Silence after which an upstream gets no new requests while others are available. */
+const silenceTimeout: Milliseconds = 700;
+
+/** First backoff period of an unreachable upstream; doubles with each failure in a row. */
+const minAvoidance: Milliseconds = 400;
+const maxAvoidance: Milliseconds = 3200;
+/** Weight of the newest duration in the moving average. */
+const durationWeight = 0.15;
+/** Bounds of the ratio of an upstream's mean duration to the median of all upstreams. */
+const slownessRange = {min: 0.7, max: 6};
+/** Capacity of the prompt cache that is assumed where a service doesn't configure one. */
+const defaultCacheTokens = 200_000;
+
+const noCachedTokens: KeptTokens = {all: 0, shared: 0};
+
+/** Probability that the preferred upstream of a prompt has its shared prefix cached although this host has no record of it. */
+const affinityHitProbability = 0.5;
+
+/** Expected number of shared tokens that the preferred upstream of a prompt has cached beyond the most that any upstream is known to have. */
+type AffinityEstimate = {preferred: UpstreamKey | undefined; tokens: number};
+
+const estimateAffinity = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): AffinityEstimate => {
+	const shared = prompt.parts.slice(0, -1).reduce((sum, {tokens}) => sum + tokens, 0);
+	return {preferred: getPromptHome(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
+};
+
+const getMedian = (values: readonly number[]): number | undefined => {
+	const sorted = values.toSorted((one, other) => one - other);
+	return sorted[Math.floor(sorted.length / 2)];
+};
+
+const getSlowness = (duration: Milliseconds | undefined, median: Milliseconds | undefined): number => {
+	if (duration === undefined || median === undefined || median === 0) {
+		return 1;
+	}
+
+	return Math.min(slownessRange.max, Math.max(slownessRange.min, duration / median));
+};
+
+/** Creates a tracker without state. */
+export const createUpstreamTracker = ({clock, logger, loads}: UpstreamTrackerOptions): UpstreamTracker => {
+	const states = new Map<UpstreamKey, UpstreamState>();
+	const isolations = new Map<string, Separation>();
+
+	const getState = (key: UpstreamKey): UpstreamState => {
+		const existing = states.get(key);
+		if (existing !== undefined) {
+			return existing;
+		}
+
+		const state: UpstreamState = {
+			agent: new UpstreamAgent(),
+			nonIdempotentAgent: new UpstreamAgent({idleLimit: idleTimeouts.short}),
+			cache: undefined,
+			prefillRate: createReadingSpeed(),
+			failures: createFailureRate(clock.monotonic()),
+			meanDuration: undefined,
+			avoidedUntil: 0,
+			connectFailures: 0,
+			openExchanges: 0,
+			lastByteAt: 0,
+		};
+		states.set(key, state);
+		return state;
+	};
+
+	const getStateSilence = (state: UpstreamState | undefined, now: Milliseconds): Milliseconds =>
+		state === undefined || state.openExchanges === 0 ? 0 : now - state.lastByteAt;
+
+	/** Whether an upstream is neither in its backoff period nor silent. */
+	const isReachable = (upstream: Upstream, now: Milliseconds): boolean => {
+		const state = states.get(getUpstreamKey(upstream));
+		return (state?.avoidedUntil ?? 0) <= now && getStateSilence(state, now) <= silenceTimeout;
+	};
+
+	const getCache = (key: UpstreamKey, capacity = defaultCacheTokens): PromptCache => {
+		const state = getState(key);
+		state.cache ??= createPromptCache(capacity);
+		return state.cache;
+	};
+
+	/** Returns the upstreams that are set aside for latency-sensitive streams. */
+	const getIsolated = (service: string, upstreams: readonly Upstream[]): ReadonlySet<UpstreamKey> => {
+		const streams = upstreams.reduce((sum, upstream) => sum + loads.getTotal(getUpstreamKey(upstream)).delicate, 0);
+		const isolation = updateSeparation(isolations.get(service), streams, clock.monotonic());
+		isolations.set(service, isolation);
+		return chooseQuietUpstreams(upstreams, isolation.count);
+	};
+
+	return {
+		getReportedQueuedTokens: loads.getOwnAwaited,
+		getPrefillRate(upstreams) {
+			const rates = upstreams.map(upstream => getState(getUpstreamKey(upstream)).prefillRate.get());
+			return getMedian(rates) ?? defaultReadingSpeed;
+		},
+		recordFirstToken(upstream, tokens, duration) {
+			getState(getUpstreamKey(upstream)).prefillRate.addSample(tokens, duration);
+		},
+		getAgent(upstream, kind, connections) {
+			const state = getState(getUpstreamKey(upstream));
+			const agent = kind === 'non-idempotent' ? state.nonIdempotentAgent : state.agent;
+			agent.maxSockets = connections;
+			return agent;
+		},
+		getCandidates(upstreams, service, prompt, queuedTokens) {
+			const now = clock.monotonic();
+			const reachable = upstreams.filter(upstream => isReachable(upstream, now));
+			const usable = reachable.length === 0 ? upstreams : reachable;
+			const usableStates = usable.map(upstream => ({upstream, key: getUpstreamKey(upstream), state: getState(getUpstreamKey(upstream))}));
+			const median = getMedian(usableStates.map(({state}) => state.meanDuration).filter(duration => duration !== undefined));
+			const cachedTokens = usableStates.map(({key}) => prompt === undefined ? noCachedTokens : getCache(key, service.engine?.cacheTokens).getKept(prompt));
+			const maxSharedTokens = Math.max(...cachedTokens.map(({shared}) => shared));
+			const isolated = getIsolated(service.name, upstreams);
+			const affinityCandidates = usable.filter(upstream => !isolated.has(getUpstreamKey(upstream)));
+			const affinity = prompt === undefined ? undefined : estimateAffinity(prompt, maxSharedTokens, affinityCandidates);
+			return usableStates.map(({upstream, key, state}, index) => {
+				const load = loads.getTotal(key);
+				const {all, shared} = cachedTokens[index] ?? noCachedTokens;
+				return {
+					upstream,
+					load,
+					backlog: getBacklog(load, state.prefillRate.get(), now),
+					awaited: (load.awaitedTokens - loads.getOwnAwaited(key) + (queuedTokens?.get(key) ?? 0)) / state.prefillRate.get(),
+					uncachedTokens: Math.max(0, (prompt?.inputTokens ?? 0) - all),
+					rereadTokens: maxSharedTokens - shared + (affinity === undefined || affinity.preferred === key ? 0 : affinity.tokens),
+					readingSpeed: state.prefillRate.get(),
+					isQuiet: isolated.has(key),
+					failureShare: getFailureShare(state.failures, now),
+					slowness: getSlowness(state.meanDuration, median),
+				};
+			});
+		},
+		recordPrefill(upstream, prompt) {
+			getCache(upstream).add(prompt);
+		},
+		recordUnreachable(upstream, reason) {
+			const state = getState(getUpstreamKey(upstream));
+			const backoff = Math.min(maxAvoidance, minAvoidance * (2 ** state.connectFailures));
+			state.connectFailures += 1;
+			state.avoidedUntil = clock.monotonic() + backoff;
+			logger.info('upstream-avoided', {upstream: getUpstreamKey(upstream), reason, for: backoff});
+		},
+		startExchange(upstream) {
+			const state = getState(getUpstreamKey(upstream));
+			state.lastByteAt = state.openExchanges === 0 ? clock.monotonic() : state.lastByteAt;
+			state.openExchanges += 1;
+			let hasEnded = false;
+			return {
+				recordBytes() {
+					state.lastByteAt = clock.monotonic();
+				},
+				end() {
+					state.openExchanges -= hasEnded ? 0 : 1;
+					hasEnded = true;
+				},
+			};
+		},
+		getSilence: upstream => getStateSilence(states.get(getUpstreamKey(upstream)), clock.monotonic()),
+		recordResult(upstream, hasFailed, duration) {
+			const state = getState(getUpstreamKey(upstream));
+			state.connectFailures = 0;
+			state.failures = addResult(state.failures, hasFailed, clock.monotonic());
+			if (duration !== undefined) {
+				state.meanDuration = state.meanDuration === undefined ? duration : (state.meanDuration * (1 - durationWeight)) + (duration * durationWeight);
+			}
+		},
+		remove(key) {
+			const state = states.get(key);
+			states.delete(key);
+			loads.dropUpstream(key);
+			// Connections with a request in flight close after its answer.
+			state?.agent.retire();
+			state?.nonIdempotentAgent.retire();
+		},
+	};
+};
