--- a/packages/forwarder/src/deliver-buffered.ts
+++ b/packages/forwarder/src/deliver-buffered.ts
@@ -4,15 +4,15 @@
 import {readBody} from './read-body.js';
 import type {SendOutcome} from './send.js';
 
-/** Most bytes of an answer that is held until it is whole. */
+/** Size limit of the body of a buffered answer. */
 const maxBufferedBytes = 16 * 1024 * 1024;
 
-/** Whether an upstream says that it failed while it ran the request. */
+/** Whether a status reports that the upstream failed to execute the request. */
 export const isServerError = (status: number): boolean => status >= 500;
-/** Whether a status tells callers that the request has not run. */
+/** Whether callers take a status as a statement that the request was not executed. */
 const impliesNotExecuted = (status: number): boolean => [408, 421, 429, 503].includes(status);
 
-/** Holds an answer until it is whole, and delivers it unless another upstream may do better. */
+/** Buffers an answer until it is complete, and delivers it unless the request may be retried after a server error. */
 export const deliverBuffered = async (call: Call, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>, isClosing: boolean): Promise<AttemptOutcome> => {
 	const body = await readBody(answer, maxBufferedBytes);
 	if (body.kind !== 'whole') {
@@ -20,20 +20,20 @@
 	}
 
 	if (impliesNotExecuted(head.status)) {
-		// The upstream doesn't say that the request wasn't run, so its status must not say so to the caller.
+		// The upstream doesn't state that it has not executed the request, so the caller must not get a status that implies it.
 		return {kind: 'failed', reason: `status-${head.status}`};
 	}
 
-	const held = {head, bytes: body.bytes};
+	const bufferedAnswer = {head, bytes: body.bytes};
 	if (isServerError(head.status) && call.isRetryable) {
-		return {kind: 'failed', reason: `status-${head.status}`, buffered: held};
+		return {kind: 'failed', reason: `status-${head.status}`, buffered: bufferedAnswer};
 	}
 
-	writeBufferedAnswer(call, held, isClosing);
+	writeBufferedAnswer(call, bufferedAnswer, isClosing);
 	return {kind: 'delivered', status: head.status};
 };
 
-/** Writes a whole answer to the caller. */
+/** Writes a complete answer to the caller. */
 export const writeBufferedAnswer = ({response}: Call, {head, bytes}: BufferedAnswer, isClosing: boolean): void => {
 	const hasLength = head.forwarded.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length');
 	const length = hasLength ? [] : ['Content-Length', String(bytes.length)];
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -4,20 +4,20 @@
 import {isComplete, type Incoming} from './incoming.js';
 import type {AnswerHead} from './protocol.js';
 
-/** How the delivery of a stream ended: `cut` before its end, `broken` if it can't go on without a gap or repeat. */
+/** How the delivery of a stream ended: `cut` before its end, `broken` if an event is missing, so that it can't be continued. */
 export type Delivery = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
 
-/** A stream on its way from an upstream to a caller. */
+/** Options of the delivery of a stream from an upstream to a caller. */
 export type StreamDelivery = {
 	head: AnswerHead;
 	answer: Incoming;
 	response: ServerResponse;
 	progress: Progress;
-	/** Whether only whole events go on, so that another upstream can continue after the last. */
+	/** Whether another upstream can continue the stream; then only complete events are delivered. */
 	isResumable: boolean;
 	/** Whether the connection is closed after the answer. */
 	isClosing: boolean;
-	/** Called once, with the first bytes. */
+	/** Called once, when the first bytes arrive. */
 	onFirstBytes: () => void;
 };
 
@@ -26,7 +26,7 @@
 	response.writeHead(status, [...forwarded, ...(isClosing ? ['Connection', 'close'] : [])]);
 };
 
-/** Events that go on to the caller: those it has not had. Undefined if one is missing before them. */
+/** Returns the events that the caller has not received yet, or undefined if one before them is missing. */
 const getNewEvents = (events: readonly StreamEvent[], progress: Progress): StreamEvent[] | undefined => {
 	const newEvents: StreamEvent[] = [];
 	for (const event of events) {
@@ -42,7 +42,7 @@
 	return newEvents;
 };
 
-/** Delivers a stream as it comes, no faster than the caller reads. */
+/** Delivers a stream as it arrives, with backpressure from the caller. */
 export const deliverStream = async (delivery: StreamDelivery): Promise<Delivery> => new Promise(resolve => {
 	const {
 		head, answer, response, progress, isResumable,
--- a/packages/forwarder/src/error-answer.ts
+++ b/packages/forwarder/src/error-answer.ts
@@ -6,16 +6,16 @@
 import type {Milliseconds, RunState} from '@gentianlift/types';
 import type {CallerHead, Protocol} from './protocol.js';
 
-/** An answer of the router itself. */
+/** An error answer that the router generates itself. */
 export type ErrorAnswer = {
 	kind: ErrorKind;
-	/** What is known of the request, where it differs from the kind's. */
+	/** Whether the request was executed, if it differs from the default of the kind. */
 	ran?: RunState;
-	/** When it is of use to come back. */
+	/** Delay after which a retry is useful. */
 	retryAfter?: Milliseconds;
 };
 
-/** What an answer is written to. */
+/** The response that an answer is written to. */
 export type AnswerTarget = {
 	response: ServerResponse;
 	protocol: Protocol;
@@ -30,7 +30,7 @@
 const getRetryHeader = (retryAfter: Milliseconds | undefined): string[] =>
 	retryAfter === undefined ? [] : ['Retry-After', (retryAfter / millisecondsPerSecond).toFixed(retryAfterDecimals)];
 
-/** Writes an error answer and ends it. */
+/** Writes an error answer and ends the response. */
 export const writeErrorAnswer = ({response, protocol, caller, isClosing}: AnswerTarget, {kind, ran, retryAfter}: ErrorAnswer): void => {
 	const detail = {...(ran !== undefined && {ran}), ...(retryAfter !== undefined && {retryAfter})};
 	const body = Buffer.from(JSON.stringify(getErrorBody(createFailure(kind, detail), caller?.attempt ?? '')));
--- a/packages/forwarder/src/event-splitter.ts
+++ b/packages/forwarder/src/event-splitter.ts
@@ -1,20 +1,20 @@
 import {Buffer} from 'node:buffer';
 
-/** A whole event of a stream, as it came. */
+/** A complete event of a stream, in its original bytes. */
 export type StreamEvent = {id: number | undefined; bytes: Uint8Array};
 
-/** Splits the bytes of an event stream at the ends of events. */
+/** Splits the bytes of an event stream into events. */
 export type EventSplitter = {
-	/** Takes bytes and gets the events that they complete. */
+	/** Appends bytes and returns the events that they complete. */
 	push: (chunk: Uint8Array) => StreamEvent[];
-	/** Whether bytes of an event without its end are held. */
+	/** Whether bytes of an incomplete event are buffered. */
 	hasPartial: () => boolean;
 };
 
 const eventEnd = '\n\n';
 const idLine = /^id:\s?(?<id>\d+)\s*$/mv;
 
-/** Creates a splitter for one answer. */
+/** Creates a splitter for the body of one answer. */
 export const createEventSplitter = (): EventSplitter => {
 	let buffered = Buffer.alloc(0);
 	return {
--- a/packages/forwarder/src/incoming.ts
+++ b/packages/forwarder/src/incoming.ts
@@ -1,15 +1,15 @@
 import type {IncomingMessage} from 'node:http';
 
-/** An answer on its way from an upstream. */
+/** A message that is being received. */
 export type Incoming = {
 	message: IncomingMessage;
-	/** Whether its connection has failed. */
+	/** Whether the connection has failed. */
 	hasFailed: () => boolean;
 };
 
 /**
- * Tells whether a message that has ended is whole. Without a length its end is that of its connection,
- * and Node takes a reset for an end too.
+ * Whether a message that has ended is complete. Without a declared length or chunked encoding it ends with its connection,
+ * and Node reports a reset as an end too.
  */
 export const isComplete = ({message, hasFailed}: Incoming): boolean => {
 	const hasLength = message.headers['content-length'] !== undefined || message.headers['transfer-encoding'] !== undefined;
--- a/packages/forwarder/src/listen.ts
+++ b/packages/forwarder/src/listen.ts
@@ -1,10 +1,10 @@
 import type {Server} from 'node:http';
 import {splitAddress, type Address} from '@gentianlift/types';
 
-/** Connections that may wait to be taken, as callers come at once after a start. */
+/** Connections that may wait to be accepted; many callers connect at once after a start. */
 const connectionBacklog = 1024;
 
-/** Starts to listen; rejects if the address can't be used. */
+/** Makes a server listen on an address; rejects if the address can't be used. */
 export const listen = async (server: Server, address: Address): Promise<void> => new Promise((resolve, reject) => {
 	server.once('error', reject);
 	server.listen({...splitAddress(address), backlog: connectionBacklog}, resolve);
--- a/packages/forwarder/src/protocol.ts
+++ b/packages/forwarder/src/protocol.ts
@@ -1,57 +1,58 @@
 import type {Prompt, Upstream} from '@gentianlift/routing';
 import type {CustomerId, Milliseconds, Rank} from '@gentianlift/types';
 
-/** Headers as on the wire: names and values in turn, as Node's `rawHeaders`. */
+/** Headers as on the wire: alternating names and values, as in Node's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** What the headers of a caller's request say. */
+/** Parsed headers of a caller's request. */
 export type CallerHead = {
 	/** The caller's id of this attempt. */
 	attempt: string | undefined;
 	hostname: string;
 	key: string | undefined;
-	/** How long the caller waits from now. */
+	/** Client timeout: how long the caller waits for the final answer. */
 	patience: Milliseconds | undefined;
 	prompt: Prompt | undefined;
-	/** Last event that the caller has of a stream that it resumes. */
+	/** Id of the last event that the caller has received, if it resumes a stream. */
 	lastEvent: number | undefined;
-	/** Whether the request says that it has a body, be it empty. */
+	/** Whether the request declares a body, which may be empty. */
 	declaresBody: boolean;
-	/** Headers that go on to the upstream as they are. */
+	/** Headers that are forwarded to the upstream unchanged. */
 	forwarded: RawHeaders;
 };
 
-/** What the router itself tells an upstream with a request. */
+/** Input for the headers of a request to an upstream. */
 export type UpstreamHead = {
 	caller: CallerHead;
 	upstream: Upstream;
 	customer: CustomerId | undefined;
+	/** Time left until the deadline of the call. */
 	timeLeft: Milliseconds;
 	rank: Rank;
-	/** Last event that the caller has, if the stream goes on at this upstream. */
+	/** Id of the last event that the caller has received, if the upstream is to resume a stream. */
 	resumeAfter: number | undefined;
 	bodyLength: number;
 };
 
-/** What the head of an upstream's answer says. */
+/** Parsed head of an upstream's answer. */
 export type AnswerHead = {
 	status: number;
-	/** The attempt that the answer belongs to, as the upstream says. */
+	/** Id of the attempt that the upstream answers, if it names one. */
 	attempt: string | undefined;
-	/** Whether the upstream says that it has not run the request and never will. */
+	/** Whether the upstream states that it has not executed the request and never will. */
 	isNotRun: boolean;
-	/** Whether the answer bears the upstream's mark; a success without it isn't the upstream's. */
+	/** Whether the answer carries the signature header of an upstream; a success without it comes from something else. */
 	isSigned: boolean;
 	isEventStream: boolean;
-	/** Headers that go on to the caller as they are. */
+	/** Headers that are forwarded to the caller unchanged. */
 	forwarded: RawHeaders;
 };
 
-/** Words of the wire between callers, this router and upstreams. Decides nothing. */
+/** Translation of headers on the wire between callers, this router and upstreams; makes no routing decisions. */
 export type Protocol = {
 	readCallerHead: (headers: RawHeaders) => CallerHead;
 	writeUpstreamHead: (head: UpstreamHead) => string[];
 	readAnswerHead: (status: number, headers: RawHeaders) => AnswerHead;
-	/** Headers of an answer of the router itself. */
+	/** Returns additional headers of an error answer that the router generates. */
 	writeOwnHead: (caller: CallerHead | undefined) => string[];
 };
--- a/packages/forwarder/src/read-body.ts
+++ b/packages/forwarder/src/read-body.ts
@@ -1,20 +1,20 @@
 import {Buffer} from 'node:buffer';
 import {isComplete, type Incoming} from './incoming.js';
 
-/** How reading a body ended; `broken` if its connection broke off before its end. */
+/** Result of reading a body; `broken` if the connection was lost before its end. */
 export type Body
 	= | {kind: 'whole'; bytes: Uint8Array}
 		| {kind: 'too-large'}
 		| {kind: 'broken'; reason: string};
 
-/** Reads a body of at most `limit` bytes. */
-export const readBody = async (incoming: Incoming, limit: number): Promise<Body> => new Promise(resolve => {
+/** Reads a body of at most `maxBytes` bytes. */
+export const readBody = async (incoming: Incoming, maxBytes: number): Promise<Body> => new Promise(resolve => {
 	const {message} = incoming;
 	const chunks: Uint8Array[] = [];
 	let length = 0;
 	message.on('data', (chunk: Uint8Array) => {
 		length += chunk.length;
-		if (length > limit) {
+		if (length > maxBytes) {
 			resolve({kind: 'too-large'});
 			return;
 		}
--- a/packages/forwarder/src/report-crash.ts
+++ b/packages/forwarder/src/report-crash.ts
@@ -2,7 +2,7 @@
 import {getFingerprint, type Call} from './call.js';
 import type {ForwarderContext} from './context.js';
 
-/** Records which requests an upstream ran when it crashed, and tells the other hosts. */
+/** Checks whether an upstream has crashed while it ran a call; if so, records the call as a suspect and notifies the other hosts. */
 export const reportCrash = async (call: Call, upstream: Upstream, context: ForwarderContext): Promise<void> => {
 	const hasCrashed = await context.crashDetector.detectCrash(upstream);
 	if (!hasCrashed) {
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -14,44 +14,46 @@
 import {readBody, type Body} from './read-body.js';
 import type {ForwarderContext} from './context.js';
 
-/** The listener of callers. */
+/** HTTP server for callers. */
 export type CallerServer = {
 	server: Server;
-	/** Number of requests without a final answer. */
+	/** Returns the number of requests without a final answer. */
 	countOpenRequests: () => number;
 };
 
-/** What the listener works with. */
+/** Dependencies of the server for callers. */
 export type CallerServerOptions = {
 	context: ForwarderContext;
 	forwarder: Forwarder;
-	/** Reads the newest state of the fleet, where it can be reached. */
+	/** Reads the newest state of the fleet, if a source is reachable. */
 	refresh: () => Promise<void>;
 };
 
-/** Where a request goes, or why it is refused. */
+/** Route and service of an admitted request, or the error of a refused one. */
 type Admission
 	= | {kind: 'admitted'; table: RouteTable; route: Route; service: string; customer: KeyHolder | undefined}
 		| {kind: 'refused'; error: Extract<ErrorKind, 'not-configured' | 'host-overloaded' | 'host-stopping' | 'unknown-path' | 'wrong-key' | 'missing-key'>};
 
-/** Size of headers above which a connection is refused before the configured limit is looked at. */
+/** Size of headers above which Node rejects a request before the configured limit applies. */
 const maxHeaderBytes = 64 * 1024;
-/** Time beyond the configured idle limit for which a connection is kept. */
+/** Time for which a connection is kept open beyond the configured idle timeout. */
 const keepAliveMargin: Milliseconds = 2000;
+/** Interval at which Node checks connections for exceeded timeouts. */
 const connectionsCheckInterval: Milliseconds = 1000;
-/** Longest time for a request with its body to arrive. */
+/** Longest time to receive a request with its body. */
 const requestTimeout: Milliseconds = 30_000;
-/** Requests without a final answer; each takes two connections and its body's memory. */
+/** Limit on requests without a final answer, for load shedding; each uses two connections and the memory of its body. */
 const maxOpenRequests = 1500;
-/** When to come back, to a host without a configuration or to another host. */
+/** Retry-After of refusals: until this host has a configuration, or for a retry on another host. */
 const retryAfterDelays: Partial<Record<ErrorKind, Milliseconds>> = {'not-configured': 500, 'host-overloaded': 200, 'host-stopping': 20};
-/** Longest wait for the newest state before a refusal that it might lift. */
+/** Longest wait for the newest state before a refusal that it might change. */
 const refreshTimeout: Milliseconds = 400;
-/** Age up to which the state counts as the newest. */
+/** Age up to which the state counts as current. */
 const maxFreshAge: Milliseconds = 200;
-/** Age of other hosts' word up to which it confirms the state. */
+/** Age up to which a report of another host confirms the state. */
 const maxConfirmationAge: Milliseconds = 600;
 
+/** Status lines for errors of Node's HTTP parser, by error code. */
 const clientErrorStatuses: Record<string, string> = {
 	HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
 	ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
@@ -65,9 +67,10 @@
 	}
 };
 
+/** Returns the size of raw headers, with two separator bytes for each name and value. */
 const getHeaderBytes = (headers: readonly string[]): number => headers.reduce((sum, text) => sum + text.length + 2, 0);
 
-/** Creates the listener; it listens when told to. */
+/** Creates the server; it doesn't listen yet. */
 export const createCallerServer = ({context, forwarder, refresh}: CallerServerOptions): CallerServer => {
 	const {clock, view, protocol, logger, metrics} = context;
 	let openRequests = 0;
@@ -107,13 +110,14 @@
 			};
 	};
 
-	/** Whether the state was confirmed lately, by the key-value service or by other hosts that know no newer one. */
+	/** Whether the state was confirmed recently, by the key-value service or by other hosts that know of no newer revision. */
 	const isFresh = (): boolean => {
 		const now = clock.monotonic();
 		const isConfirmed = context.reports.getNewestRevision() <= view.getRevision() && context.reports.getShortestSilence() < maxConfirmationAge;
 		return isConfirmed || now - refreshedAt < maxFreshAge || view.getSilence(now) < maxFreshAge;
 	};
 
+	/** Refreshes a stale state; concurrent calls share one refresh. */
 	const refreshIfStale = async (): Promise<void> => {
 		if (isFresh()) {
 			return;
@@ -127,7 +131,7 @@
 		await Promise.race([pendingRefresh, clock.sleep(refreshTimeout)]);
 	};
 
-	/** A refusal is final for the caller, so that the newest configuration is asked for before it. */
+	/** Admits a request, and before a final refusal checks once more with the newest state, because callers don't retry after it. */
 	const admitWithRefresh = async (head: CallerHead, target: string): Promise<Admission> => {
 		const first = admit(head, target);
 		if (first.kind === 'admitted' || errorTable[first.error].status === 503) {
@@ -138,17 +142,18 @@
 		return admit(head, target);
 	};
 
-	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, own: ErrorAnswer): void => {
-		metrics.count('refusals_total', {reason: own.kind});
+	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, errorAnswer: ErrorAnswer): void => {
+		metrics.count('refusals_total', {reason: errorAnswer.kind});
 		logger.info('call-refused', {
-			request: head.attempt, reason: own.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
+			request: head.attempt, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
 			age: Math.round(view.getSilence(clock.monotonic())),
 		});
 		writeErrorAnswer({
-			response, protocol, caller: head, isClosing: context.isStopping() || own.kind === 'body-too-large',
-		}, own);
+			response, protocol, caller: head, isClosing: context.isStopping() || errorAnswer.kind === 'body-too-large',
+		}, errorAnswer);
 	};
 
+	/** Returns the error of a request that isn't admitted or exceeds a limit, else undefined. */
 	const getRefusal = (body: Body, admission: Admission, headers: readonly string[], limits: CallerLimits | undefined): ErrorAnswer | undefined => {
 		if (body.kind === 'too-large') {
 			return {kind: 'body-too-large'};
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -21,53 +21,54 @@
 export type HostSettings = {
 	host: HostId;
 	zone: Zone;
-	/** Processor of the host, in cores of usual speed. */
+	/** Processing capacity of the host, in cores of standard speed. */
 	strength: number;
-	/** Listener of callers' requests. */
+	/** Address on which callers' requests are received. */
 	callers: Address;
-	/** Listener of other hosts' questions. */
+	/** Address on which other hosts' requests are received. */
 	peers: Address;
-	/** Where load notes of other hosts come in, over UDP. */
+	/** UDP address on which load reports of other hosts are received. */
 	notes: Address;
-	/** Listeners for hosts of some other hosts, which may be gone. */
+	/** Peer addresses of some other hosts, which may be gone. */
 	knownPeers: Address[];
-	/** Time between the signal to stop and the kill. */
+	/** Grace period between the signal to stop and the kill of the process. */
 	grace: Milliseconds;
-	/** How long callers may keep a list of addresses. */
+	/** Time to live of a list of addresses that callers were given. */
 	addressLife: Milliseconds;
 	retryBound: RetryBound;
 };
 
-/** What a host works with, beside its settings. */
+/** Dependencies of a host, apart from its settings. */
 export type HostDependencies = {
 	clock: Clock;
 	logger: Logger;
 	store: FleetStore;
-	/** Reads an entry of the operators or of an upstream. */
+	/** Decodes an entry that was written by operators or by an upstream. */
 	decode: (entry: Entry) => FleetItem;
 	protocol: Protocol;
 };
 
 /** A running host. */
 export type Host = {
-	/** Whether it takes requests. */
+	/** Whether the host is ready for requests: it has a configuration and isn't stopping. */
 	isReady: () => boolean;
-	/** Hosts to send a caller in the availability zone to. */
+	/** Returns the hosts that a caller in the availability zone is directed to. */
 	getOffered: (zone: Zone | undefined) => HostRecord[];
-	/** How long callers are to keep the answer. */
+	/** Time to live of the list of hosts that callers are given. */
 	offerLife: Milliseconds;
+	/** Returns the metrics in the text format that is served to scrapers. */
 	getMetricsPage: () => string;
-	/** Takes over the grace, the life of addresses and the bound on retries; all addresses stay until the next start. */
+	/** Applies the grace period, the time to live of addresses and the bound on retries; changed addresses apply at the next start. */
 	reload: (settings: HostSettings) => void;
 	/** Shuts the host down gracefully; resolves when its process may end. */
 	stop: () => Promise<void>;
 };
 
-/** Longest time for which callers are told to keep a list of addresses; short, so that they leave a host soon. */
+/** Longest time to live of a list of addresses; short, so that callers stop using a stopping host soon. */
 const maxAddressListTtl: Milliseconds = 1000;
-/** Callers may keep a list for this many times its life. */
+/** Callers may use a list for up to this multiple of its time to live. */
 const staleUseFactor = 3;
-/** Seeds of random numbers are below this. */
+/** Exclusive upper bound of seeds for random numbers. */
 const seedRange = 2 ** 31;
 
 const buildHostRecord = (settings: HostSettings, incarnation: number): HostRecord => ({
@@ -81,13 +82,14 @@
 	isStopping: false,
 });
 
-/** Says how far a graceful shutdown has come. */
+/** State of a graceful shutdown; `since` is undefined until it begins. */
 type Shutdown = {since: Milliseconds | undefined; gracePeriod: Milliseconds};
 
+/** Joins the fleet and creates the dependencies that the forwarder's modules share. */
 const createContext = (settings: HostSettings, {clock, logger, store, decode, protocol}: HostDependencies, shutdown: Shutdown, onLoad: () => void): {context: ForwarderContext; fleet: Fleet} => {
 	const random = createRandom(clock.now() % seedRange);
 	const loads = createLoadBook();
-	const board = createUpstreamTracker({clock, logger, loads});
+	const tracker = createUpstreamTracker({clock, logger, loads});
 	const suspects = createCrashSuspects();
 	const isStopping = (): boolean => shutdown.since !== undefined;
 	const fleet = joinFleet({
@@ -103,9 +105,9 @@
 		isStopping,
 		onLoad,
 		onReading({upstream, model, parts}) {
-			board.recordPrefill(upstream, {model, parts});
+			tracker.recordPrefill(upstream, {model, parts});
 		},
-		onRemoved: board.remove,
+		onRemoved: tracker.remove,
 	});
 	const context: ForwarderContext = {
 		clock,
@@ -116,7 +118,7 @@
 		zone: settings.zone,
 		view: fleet.view,
 		reports: fleet.notes,
-		tracker: board,
+		tracker,
 		suspects,
 		crashDetector: createCrashDetector(clock),
 		retryBound: {...settings.retryBound},
@@ -127,12 +129,12 @@
 	return {context, fleet};
 };
 
-/** Starts a host: joins the fleet and listens to callers and other hosts. Rejects if an address can't be used. */
-export const startHost = async (settings: HostSettings, parts: HostDependencies): Promise<Host> => {
-	const {clock, logger} = parts;
+/** Starts a host: joins the fleet and listens for callers and other hosts. Rejects if an address can't be used. */
+export const startHost = async (settings: HostSettings, dependencies: HostDependencies): Promise<Host> => {
+	const {clock, logger} = dependencies;
 	const shutdown: Shutdown = {since: undefined, gracePeriod: settings.grace};
-	let offerLife = Math.min(settings.addressLife, maxAddressListTtl);
-	const {context, fleet} = createContext(settings, parts, shutdown, () => {
+	let addressListTtl = Math.min(settings.addressLife, maxAddressListTtl);
+	const {context, fleet} = createContext(settings, dependencies, shutdown, () => {
 		forwarder.onLoadChange();
 	});
 	const forwarder = createForwarder(context);
@@ -149,15 +151,15 @@
 		isReady: () => shutdown.since === undefined && fleet.view.getRoutes() !== undefined,
 		getOffered: fleet.getOffered,
 		get offerLife() {
-			return offerLife;
+			return addressListTtl;
 		},
 		getMetricsPage: context.metrics.getPage,
 		reload(next) {
 			shutdown.gracePeriod = next.grace;
-			offerLife = Math.min(next.addressLife, maxAddressListTtl);
+			addressListTtl = Math.min(next.addressLife, maxAddressListTtl);
 			Object.assign(context.retryBound, next.retryBound);
 			logger.info('reloaded', {
-				grace: next.grace, offerLife, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
+				grace: next.grace, offerLife: addressListTtl, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
 			});
 		},
 		async stop() {
@@ -167,7 +169,7 @@
 
 			shutdown.since = clock.monotonic();
 			await stopHost({
-				clock, logger, gracePeriod: shutdown.gracePeriod, addressTtl: offerLife * staleUseFactor, countOpenRequests: callers.countOpenRequests, announce, release: fleet.registration.end,
+				clock, logger, gracePeriod: shutdown.gracePeriod, addressTtl: addressListTtl * staleUseFactor, countOpenRequests: callers.countOpenRequests, announce, release: fleet.registration.end,
 			});
 		},
 	};
--- a/packages/forwarder/src/stop-host.ts
+++ b/packages/forwarder/src/stop-host.ts
@@ -2,52 +2,52 @@
 import type {Logger} from '@gentianlift/logger';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** What a graceful shutdown works with. */
+/** Options of a graceful shutdown. */
 export type StopOptions = {
 	clock: Clock;
 	logger: Logger;
-	/** Time until the process is killed. */
+	/** Time from the signal to stop until the process is killed. */
 	gracePeriod: Milliseconds;
-	/** Longest time for which callers go on using an address that they were given. */
+	/** Longest time for which callers use an address after they were given it. */
 	addressTtl: Milliseconds;
-	/** Number of requests without a final answer. */
+	/** Returns the number of requests without a final answer. */
 	countOpenRequests: () => number;
-	/** Tells the other hosts and the key-value service. */
+	/** Notifies the other hosts and the key-value service. */
 	announce: () => Promise<void>;
-	/** Gives back what the host holds. */
+	/** Ends the registration of the host. */
 	release: () => Promise<void>;
 };
 
-/** Time kept back from the grace for giving back what the host holds. */
+/** Part of the grace period that is reserved for the release. */
 const releaseMargin: Milliseconds = 300;
 const checkInterval: Milliseconds = 50;
 
-/** Time after the signal in which callers may not have noticed it, and each request is taken. */
+/** Time after the signal during which callers may not know of the stop yet, and all requests are accepted. */
 const noticePeriod: Milliseconds = 2500;
 
 /**
- * Tells whether a host that was told to stop `elapsed` ago takes a request. Callers that come late are better off
- * at another host than with an answer that is cut when the process is killed.
+ * Whether a host that began to stop `elapsed` ago accepts a request that may last for `timeout`. A late caller is better
+ * served by another host than with an answer that is cut off when the process is killed.
  */
-export const canAcceptRequest = (elapsed: Milliseconds, grace: Milliseconds, timeout: Milliseconds): boolean =>
-	elapsed <= noticePeriod || timeout <= grace - releaseMargin - elapsed;
+export const canAcceptRequest = (elapsed: Milliseconds, gracePeriod: Milliseconds, timeout: Milliseconds): boolean =>
+	elapsed <= noticePeriod || timeout <= gracePeriod - releaseMargin - elapsed;
 
-/** Serves until callers have stopped to come and all requests are answered, then releases what the host holds. */
+/** Serves until callers no longer use the address and all requests are answered, or the grace period is almost over; then releases. */
 export const stopHost = async ({
-	clock, logger, gracePeriod: grace, addressTtl: addressLife, countOpenRequests: countOpen, announce, release,
+	clock, logger, gracePeriod, addressTtl, countOpenRequests, announce, release,
 }: StopOptions): Promise<void> => {
 	const startedAt = clock.monotonic();
 	const getElapsed = (): Milliseconds => clock.monotonic() - startedAt;
-	logger.info('stopping', {open: countOpen(), grace});
+	logger.info('stopping', {open: countOpenRequests(), grace: gracePeriod});
 	const announcement = announce();
-	const maxServingTime = grace - releaseMargin;
-	const minServingTime = Math.min(addressLife, maxServingTime);
-	while (getElapsed() < minServingTime || (countOpen() > 0 && getElapsed() < maxServingTime)) {
-		// eslint-disable-next-line no-await-in-loop -- Waits for time to pass.
+	const maxServingTime = gracePeriod - releaseMargin;
+	const minServingTime = Math.min(addressTtl, maxServingTime);
+	while (getElapsed() < minServingTime || (countOpenRequests() > 0 && getElapsed() < maxServingTime)) {
+		// eslint-disable-next-line no-await-in-loop -- Polls until the condition holds.
 		await clock.sleep(checkInterval);
 	}
 
 	await Promise.race([announcement, clock.sleep(releaseMargin)]);
 	await Promise.race([release(), clock.sleep(releaseMargin)]);
-	logger.info('stopped', {open: countOpen(), after: Math.round(getElapsed())});
+	logger.info('stopped', {open: countOpenRequests(), after: Math.round(getElapsed())});
 };
--- a/packages/forwarder/src/upstream-agent.ts
+++ b/packages/forwarder/src/upstream-agent.ts
@@ -5,22 +5,23 @@
 import type {Duplex} from 'node:stream';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Idle times after which a connection isn't used again, unless the upstream names a shorter one. */
+/** Idle timeouts of connections in milliseconds; the upstream may announce a shorter one. */
 export const idleTimeouts = {
 	normal: 8000,
-	/** For requests that can't be sent again: an upstream may have forgotten a connection that rested for longer. */
+	/** For requests that can't be retried: an upstream may have dropped a connection that was idle for longer. */
 	short: 150,
 } as const;
-/** Time before the upstream's own limit at which an idle connection is closed, so that no request crosses its close. */
+/** Time before the upstream's own idle timeout at which a connection is closed, so that no request is sent while the upstream closes it. */
 const idleCloseMargin: Milliseconds = 1000;
 const keepAliveTimeoutPattern = /timeout=(?<seconds>\d+)/v;
 
-/** The answer under way on a connection; undefined while a request waits for one. */
+/** State of a connection. */
 type ConnectionState = {
+	/** The answer being received; undefined while a request waits for one. */
 	message: IncomingMessage | undefined;
 	isIdle: boolean;
 	idleTimer: NodeJS.Timeout | undefined;
-	/** Whether the connection was found to be reset when it ended. */
+	/** Whether the connection ended with a reset. */
 	isReset: boolean;
 };
 
@@ -31,22 +32,22 @@
 };
 
 /**
- * Connections to one upstream. A connection that delivers bytes that no request waits for is closed:
- * what follows on it could be taken for the answer to another request.
+ * Connection pool of one upstream. A connection that delivers bytes that no request waits for is closed:
+ * they could be taken for the answer to the next request.
  */
 export class UpstreamAgent extends Agent {
-	readonly #progress = new WeakMap<Duplex, ConnectionState>();
+	readonly #states = new WeakMap<Duplex, ConnectionState>();
 
-	readonly #idleLimit: Milliseconds;
+	readonly #idleTimeout: Milliseconds;
 
-	constructor({idleLimit = idleTimeouts.normal, ...options}: AgentOptions & {idleLimit?: Milliseconds} = {}) {
+	constructor({idleTimeout = idleTimeouts.normal, ...options}: AgentOptions & {idleTimeout?: Milliseconds} = {}) {
 		super({
 			keepAlive: true, scheduling: 'lifo', maxFreeSockets: 64, ...options,
 		});
-		this.#idleLimit = idleLimit;
+		this.#idleTimeout = idleTimeout;
 	}
 
-	/** Closes the connections that rest; those in use are closed after their answers. */
+	/** Closes idle connections now, and those in use after their answers. */
 	retire(): void {
 		this.maxFreeSockets = 0;
 		for (const socket of Object.values(this.freeSockets).flat()) {
@@ -54,67 +55,67 @@
 		}
 	}
 
-	/** Tells which answer came on the request's connection, so that bytes after its end are found. */
+	/** Records which answer is received on a connection, so that bytes after its end are detected. */
 	recordAnswer(socket: Socket, message: IncomingMessage): void {
-		const progress = this.#progress.get(socket);
-		if (progress !== undefined) {
-			progress.message = message;
+		const state = this.#states.get(socket);
+		if (state !== undefined) {
+			state.message = message;
 		}
 	}
 
-	/** Tells whether a connection that has ended was reset. */
+	/** Whether a connection that has ended was reset. */
 	wasReset(socket: Socket): boolean {
-		return this.#progress.get(socket)?.isReset ?? false;
+		return this.#states.get(socket)?.isReset ?? false;
 	}
 
 	override createConnection(options: NetConnectOpts): Socket {
 		const socket = connect({...options, noDelay: true, allowHalfOpen: true});
-		const progress: ConnectionState = {
+		const state: ConnectionState = {
 			message: undefined, isIdle: false, idleTimer: undefined, isReset: false,
 		};
-		this.#progress.set(socket, progress);
+		this.#states.set(socket, state);
 		socket.on('data', () => {
-			if (progress.isIdle || progress.message?.complete === true) {
+			if (state.isIdle || state.message?.complete === true) {
 				socket.destroy();
 			}
 		});
 		socket.once('end', () => {
-			// A reset that comes together with data looks like an orderly end, but leaves the socket without a peer.
-			progress.isReset = socket.remoteAddress === undefined;
-			if (progress.isIdle) {
+			// A reset that arrives together with data is reported as an orderly end, but leaves the socket without a remote address.
+			state.isReset = socket.remoteAddress === undefined;
+			if (state.isIdle) {
 				socket.destroy();
 			}
 		});
 		socket.once('close', () => {
-			clearTimeout(progress.idleTimer);
+			clearTimeout(state.idleTimer);
 		});
 		return socket;
 	}
 
-	// eslint-disable-next-line @typescript-eslint/strict-void-return -- Node reads the value, as its pages say.
+	// eslint-disable-next-line @typescript-eslint/strict-void-return -- Node uses the returned value, as documented.
 	override keepSocketAlive(socket: Duplex): boolean {
-		const progress = this.#progress.get(socket);
-		const limit = getIdleTimeout(progress?.message, this.#idleLimit);
-		if (progress === undefined || limit <= 0 || socket.destroyed) {
+		const state = this.#states.get(socket);
+		const timeout = getIdleTimeout(state?.message, this.#idleTimeout);
+		if (state === undefined || timeout <= 0 || socket.destroyed) {
 			return false;
 		}
 
-		progress.isIdle = true;
-		progress.idleTimer = setTimeout(() => {
+		state.isIdle = true;
+		state.idleTimer = setTimeout(() => {
 			socket.destroy();
-		}, limit);
-		progress.idleTimer.unref();
-		// Bytes that come while the connection is idle are to be seen at once.
+		}, timeout);
+		state.idleTimer.unref();
+		// An idle connection is read, so that unexpected bytes are detected at once.
 		socket.resume();
 		return true;
 	}
 
 	override reuseSocket(socket: Duplex, request: ClientRequest): void {
-		const progress = this.#progress.get(socket);
-		if (progress !== undefined) {
-			clearTimeout(progress.idleTimer);
-			progress.message = undefined;
-			progress.isIdle = false;
+		const state = this.#states.get(socket);
+		if (state !== undefined) {
+			clearTimeout(state.idleTimer);
+			state.message = undefined;
+			state.isIdle = false;
 		}
 
 		super.reuseSocket(socket, request);
--- a/packages/forwarder/src/upstream-tracker.ts
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -113,7 +113,7 @@
 
 		const state: UpstreamState = {
 			agent: new UpstreamAgent(),
-			nonIdempotentAgent: new UpstreamAgent({idleLimit: idleTimeouts.short}),
+			nonIdempotentAgent: new UpstreamAgent({idleTimeout: idleTimeouts.short}),
 			cache: undefined,
 			prefillRate: createReadingSpeed(),
 			failures: createFailureRate(clock.monotonic()),
