--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -8,55 +8,55 @@
 
 const start = createHostStarter(onTestFinished);
 
-test('an answer goes back as the upstream gave it', async () => {
+test('an answer is delivered as the upstream sent it', async () => {
 	const {host} = await start(answerOk);
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}, body: 'x'})).toMatchObject({
 		status: 200, body: 'ok', isWhole: true, headers: {signed: '1', attempt: 'a1'},
 	});
 });
 
-test('what was not run goes to another upstream, also a booking', async () => {
+test('a request that was not executed is retried on another upstream, even if it is not idempotent', async () => {
 	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted, answerOk);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer.status).toBe(200);
 	expect(counts[2]).toBe(1);
 });
 
-test('a booking that may have run is not sent again, and its caller is not told that it has not run', async () => {
+test('a non-idempotent request that may have executed is not retried, and its caller is not told that it has not executed', async () => {
 	const {host, counts} = await start(resetConnection, resetConnection);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer.status).toBe(502);
 	expect(sum(counts)).toBe(1);
 });
 
-/** An upstream that forgets connections that rested, and resets what comes on them. */
-const createForgetful = (memory: number): AnswerHandler => {
-	const restSince = new WeakMap<Socket, number>();
+/** Creates an upstream that drops connections after an idle timeout without closing them, and resets them on the next request. */
+const createIdleDropper = (idleTimeout: number): AnswerHandler => {
+	const idleSince = new WeakMap<Socket, number>();
 	return (call, response) => {
-		const rested = performance.now() - (restSince.get(call.socket) ?? performance.now());
-		if (rested > memory) {
+		const idleTime = performance.now() - (idleSince.get(call.socket) ?? performance.now());
+		if (idleTime > idleTimeout) {
 			call.socket.resetAndDestroy();
 			return;
 		}
 
 		response.once('close', () => {
-			restSince.set(call.socket, performance.now());
+			idleSince.set(call.socket, performance.now());
 		});
 		answerOk(call, response);
 	};
 };
 
-test('a booking is not sent on a connection that rested for long', async () => {
-	const {host} = await start(createForgetful(300));
-	for (const pause of [0, 400, 20, 600]) {
-		// eslint-disable-next-line no-await-in-loop -- Each booking follows on the one before.
-		await host.context.clock.sleep(pause);
+test('a non-idempotent request is not sent on a connection that was idle for long', async () => {
+	const {host} = await start(createIdleDropper(300));
+	for (const idleTime of [0, 400, 20, 600]) {
+		// eslint-disable-next-line no-await-in-loop -- Each request may reuse the connection of the one before.
+		await host.context.clock.sleep(idleTime);
 		// eslint-disable-next-line no-await-in-loop -- As above.
-		expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: `p${pause}`}})).toMatchObject({status: 200});
+		expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: `p${idleTime}`}})).toMatchObject({status: 200});
 	}
 });
 
-test('an upstream that does not say that it has not run a booking is not quoted with 503', async () => {
+test('a 503 without a statement that a non-idempotent request was not executed becomes a 502', async () => {
 	const {host} = await start((_, response) => {
 		response.writeHead(503, signed);
 		response.end();
@@ -64,7 +64,7 @@
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 502});
 });
 
-test('rejections by all upstreams are refused truly, with a time to come back', async () => {
+test('a request that all upstreams reject is answered as not executed, with a Retry-After', async () => {
 	const {host} = await start(rejectUnexecuted, rejectUnexecuted);
 	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	expect(answer).toMatchObject({status: 503, headers: {'retry-after': '0.500'}});
@@ -76,51 +76,51 @@
 	expect(await sendRequest(host.port, {path: '/read/1'})).toMatchObject({status: 503});
 });
 
-test('an idempotent request that failed or broke runs on one more upstream, no more', async () => {
+test('an idempotent request whose connection breaks is retried on one more upstream at most', async () => {
 	const {host, counts} = await start(resetConnection, resetConnection, resetConnection);
 	expect(await sendRequest(host.port, {path: '/read/1', method: 'GET'})).toMatchObject({status: 502});
 	expect(sum(counts)).toBe(2);
 });
 
-test('an upstream that refuses connections costs no send', async () => {
+test('upstreams that refuse connections do not use up the attempts of a request', async () => {
 	const {host} = await start(answerOk);
-	const [sound] = host.context.view.getUpstreams('s');
-	host.setUpstreams([{...sound!, id: 'gone', address: '127.0.0.1:1'}, {...sound!, id: 'gone2', address: '127.0.0.1:1'}, sound!]);
+	const [healthy] = host.context.view.getUpstreams('s');
+	host.setUpstreams([{...healthy!, id: 'gone', address: '127.0.0.1:1'}, {...healthy!, id: 'gone2', address: '127.0.0.1:1'}, healthy!]);
 	for (let count = 0; count < 5; count++) {
-		// eslint-disable-next-line no-await-in-loop -- One after the other.
+		// eslint-disable-next-line no-await-in-loop -- Requests are sent one at a time.
 		expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: `a${count}`}})).toMatchObject({status: 200});
 	}
 });
 
-test('an upstream that is leaving gets nothing', async () => {
+test('a leaving upstream gets no requests', async () => {
 	const {host, counts} = await start(answerOk, answerOk);
 	const [one, other] = host.context.view.getUpstreams('s');
 	host.setUpstreams([{...one!, isLeaving: true}, other!]);
 	for (let count = 0; count < 6; count++) {
-		// eslint-disable-next-line no-await-in-loop -- One after the other.
+		// eslint-disable-next-line no-await-in-loop -- Requests are sent one at a time.
 		await sendRequest(host.port, {path: '/read/1'});
 	}
 
 	expect(Math.min(...counts)).toBe(0);
 });
 
-test('a request that reaches its time limit gets its final answer then', async () => {
+test('a request that reaches its deadline is answered with a timeout', async () => {
 	const {host} = await start(() => undefined);
 	const startedAt = performance.now();
-	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1', patience: '200'}});
+	const answer = await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1', timeout: '200'}});
 	expect(answer.status).toBe(504);
 	expect(performance.now() - startedAt).toBeLessThan(1400);
 });
 
-test('the time handed on is what is left', async () => {
-	let handed = Number.NaN;
+test('an upstream is told the remaining time', async () => {
+	let remainingTime = Number.NaN;
 	const {host} = await start((request, response) => {
-		handed = Number(request.headers.patience);
+		remainingTime = Number(request.headers.timeout);
 		answerOk(request, response);
 	});
-	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1', patience: '700'}});
-	expect(handed).toBeLessThanOrEqual(700);
-	expect(handed).toBeGreaterThan(0);
+	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1', timeout: '700'}});
+	expect(remainingTime).toBeLessThanOrEqual(700);
+	expect(remainingTime).toBeGreaterThan(0);
 });
 
 const writeEvents = (response: ServerResponse, from: number, to: number): void => {
@@ -131,8 +131,8 @@
 
 const stream = {...signed, 'content-type': 'text/event-stream'};
 
-/** Breaks off in the middle of event 3, and goes on after the last event that the caller has. */
-const breakMidway: AnswerHandler = (request, response) => {
+/** Resets the connection in the middle of event 3; a resumed stream continues after the last event that the caller has. */
+const resetMidway: AnswerHandler = (request, response) => {
 	const last = request.headers['last-event'];
 	response.writeHead(200, stream);
 	if (last === undefined) {
@@ -150,21 +150,21 @@
 
 const eventsUpTo = (last: number): string => Array.from({length: last}, (_, index) => `id: ${index + 1}\ndata: ${index + 1}\n\n`).join('');
 
-test('a resumable stream goes on at another upstream without a gap or repeat', async () => {
-	const {host, counts} = await start(breakMidway, breakMidway);
+test('a resumable stream is continued by another upstream without gaps or repeats', async () => {
+	const {host, counts} = await start(resetMidway, resetMidway);
 	const answer = await sendRequest(host.port, {path: '/stream/1', headers: {attempt: 'a1'}});
 	expect(answer).toMatchObject({status: 200, body: eventsUpTo(5), isWhole: true});
 	expect(sum(counts)).toBe(2);
 });
 
-test('a stream that may not be resumed is cut so that it looks cut', async () => {
-	const {host, counts} = await start(breakMidway, breakMidway);
+test('a stream that may not be resumed ends visibly incomplete when its upstream fails', async () => {
+	const {host, counts} = await start(resetMidway, resetMidway);
 	const answer = await sendRequest(host.port, {path: '/once/1', headers: {attempt: 'a1'}});
 	expect(answer).toMatchObject({status: 200, isWhole: false});
 	expect(sum(counts)).toBe(1);
 });
 
-test('a continuation that lacks an event is cut', async () => {
+test('a stream that lacks an event is cut off before the gap', async () => {
 	const {host} = await start((request, response) => {
 		response.writeHead(200, stream);
 		writeEvents(response, 1, 1);
@@ -174,7 +174,7 @@
 	expect(await sendRequest(host.port, {path: '/stream/1', headers: {attempt: 'a1'}})).toMatchObject({body: eventsUpTo(1), isWhole: false});
 });
 
-test('a caller that leaves ends its stream at the upstream', async () => {
+test('a caller that disconnects cancels its stream at the upstream', async () => {
 	let isClosed = false;
 	const {host} = await start((received, response) => {
 		response.writeHead(200, stream);
@@ -184,46 +184,46 @@
 		});
 	});
 	await new Promise<void>(resolve => {
-		const leaving = request({
+		const outgoing = request({
 			port: host.port, host: '127.0.0.1', path: '/once/1', method: 'POST', headers: {attempt: 'a1'},
 		}, message => {
 			message.once('data', () => {
-				leaving.destroy();
+				outgoing.destroy();
 				resolve();
 			});
 			message.on('error', () => undefined);
 		});
-		leaving.on('error', () => undefined);
-		leaving.end();
+		outgoing.on('error', () => undefined);
+		outgoing.end();
 	});
 	await expect.poll(() => isClosed, {timeout: 1000}).toBe(true);
 });
 
-test('an unknown path is refused only after a look at the newest state', async () => {
-	let looks = 0;
+test('an unknown path is refused only after one refresh of the state', async () => {
+	let refreshes = 0;
 	const host = await startTestHost(configuration, async () => {
-		looks += 1;
+		refreshes += 1;
 		return undefined;
 	});
 	onTestFinished(host.close);
 	expect(await sendRequest(host.port, {path: '/nowhere/1'})).toMatchObject({status: 404});
-	expect(looks).toBe(1);
+	expect(refreshes).toBe(1);
 });
 
-test('a host that stops closes connections with its answers and sends late callers elsewhere', async () => {
+test('a stopping host refuses late requests with a Retry-After and closes their connections', async () => {
 	const {host} = await start(answerOk);
 	host.setStopping(true);
 	expect(await sendRequest(host.port, {path: '/read/1'})).toMatchObject({status: 503, headers: {connection: 'close', 'retry-after': '0.020'}});
 });
 
-test('each call leaves a line with its id, what decided it and its outcome', async () => {
+test('each call is logged with its id, route, configuration version and outcome', async () => {
 	const {host} = await start(rejectUnexecuted, answerOk);
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a77'}});
 	const lines = host.logLines.filter(line => line.includes('request=a77'));
 	expect(lines.at(-1)).toMatch(/event=call-ended .*route=book .*version=1 .*outcome=delivered/v);
 });
 
-test('the load of upstreams is given back', async () => {
+test('the load of an upstream returns to zero after its request has ended', async () => {
 	const {host} = await start(answerOk);
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
 	await expect.poll(() => host.loads.getTotal('u0@1').running).toBe(0);
--- a/packages/forwarder/src/guards.test.ts
+++ b/packages/forwarder/src/guards.test.ts
@@ -10,7 +10,7 @@
 const getCrashes = (fingerprint: string): Array<{fingerprint: string; upstream: string}> =>
 	['x@1', 'y@1', 'z@1'].map(upstream => ({fingerprint, upstream}));
 
-test('a copy of a request that crashed three upstreams reaches none, and other requests do', async () => {
+test('copies of a request that crashed three upstreams are refused, other requests are not', async () => {
 	const {host, counts} = await start(answerOk);
 	const call = {
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
@@ -24,7 +24,7 @@
 	expect(await sendRequest(host.port, {path: '/book/2', headers: {attempt: 'a2'}})).toMatchObject({status: 200});
 });
 
-test('a suspect that runs to its end is cleared', async () => {
+test('a suspected request that runs to its end is cleared', async () => {
 	const {host} = await start(answerOk);
 	const call = {
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
@@ -35,7 +35,7 @@
 	await expect.poll(() => host.context.suspects.isEmpty()).toBe(true);
 });
 
-test('resends stop with the retry budget', async () => {
+test('retries stop when the retry budget is exhausted', async () => {
 	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted);
 	host.context.retryBound.minimum = 0;
 	host.context.retryBound.ratio = 0;
@@ -43,7 +43,7 @@
 	expect(sum(counts)).toBe(1);
 });
 
-test('an upstream that answers before it has read a long body gets the rest of that body', async () => {
+test('an upstream that answers before it has received a long body still receives the rest', async () => {
 	const received: number[] = [];
 	const {host} = await start((request, response) => {
 		let length = 0;
--- a/packages/forwarder/src/request-queue.test.ts
+++ b/packages/forwarder/src/request-queue.test.ts
@@ -24,20 +24,20 @@
 	services: [{name: 's', mostConnections: 100, engine: {slots: 64, cacheTokens: 500_000, tokensForEvent: 3}}],
 });
 
-type Bench = {
+type TestSetup = {
 	clock: ManualClock;
 	loads: LoadBook;
-	board: UpstreamTracker;
-	line: RequestQueue;
-	/** Looks at all upstreams for one call, which take `lookTime` each. */
-	looks: {count: number; time: Milliseconds};
+	tracker: UpstreamTracker;
+	queue: RequestQueue;
+	/** Number of candidate lookups, and the simulated duration of each. */
+	lookups: {count: number; time: Milliseconds};
 };
 
-const createBench = (upstreams: readonly Upstream[]): Bench => {
+const createTestSetup = (upstreams: readonly Upstream[]): TestSetup => {
 	const clock = createManualClock(1000);
 	const loads = createLoadBook();
 	const logger = createSilentLogger();
-	const board = createUpstreamTracker({clock, logger, loads});
+	const tracker = createUpstreamTracker({clock, logger, loads});
 	const view = createFleetView({
 		logger,
 		decode({key}) {
@@ -46,25 +46,25 @@
 		},
 	});
 	view.applySnapshot({entries: ['c', ...upstreams.map(({id}) => id)].map(key => ({key, value: '', revision: 1})), revision: 1}, 0);
-	const notes: Pick<NoteExchange, 'addLoad'> = {
+	const reports: Pick<NoteExchange, 'addLoad'> = {
 		addLoad(upstream, change) {
 			loads.addOwn(upstream, change, clock.monotonic());
 		},
 	};
-	const looks = {count: 0, time: 0};
-	const countedBoard: UpstreamTracker = {
-		...board,
+	const lookups = {count: 0, time: 0};
+	const countingTracker: UpstreamTracker = {
+		...tracker,
 		getCandidates(...parameters) {
-			looks.count += 1;
-			clock.pause(looks.time);
-			return board.getCandidates(...parameters);
+			lookups.count += 1;
+			clock.pause(lookups.time);
+			return tracker.getCandidates(...parameters);
 		},
 	};
 	const context: Pick<ForwarderContext, 'clock' | 'view' | 'tracker' | 'metrics' | 'reports' | 'random' | 'zone'> = {
-		clock, view, tracker: countedBoard, metrics: createMetrics(), reports: notes as NoteExchange, random: createRandom(1), zone: 'a',
+		clock, view, tracker: countingTracker, metrics: createMetrics(), reports: reports as NoteExchange, random: createRandom(1), zone: 'a',
 	};
 	return {
-		clock, loads, board, looks, line: createRequestQueue(context as ForwarderContext),
+		clock, loads, tracker, lookups, queue: createRequestQueue(context as ForwarderContext),
 	};
 };
 
@@ -81,147 +81,150 @@
 	route,
 	service: 's',
 	customer: undefined,
-	// The line never writes to the caller.
+	// The queue never writes to the caller.
 	response: undefined as unknown as Call['response'],
 	version: 1,
 	arrivedAt: clock.monotonic(),
 });
 
-/** Enters a call and notes its name once it is placed. */
-const enter = ({clock, line}: Bench, {route, name, tokens}: {route: Route; name: string; tokens: number}, placed: string[]): {progress: Progress; place: Promise<Assignment | undefined>} => {
+/** Enqueues a call and records its name once it is dispatched, or its name after `no` if it leaves the queue otherwise. */
+const enqueue = ({clock, queue}: TestSetup, {route, name, tokens}: {route: Route; name: string; tokens: number}, dispatched: string[]): {
+	progress: Progress;
+	assignment: Promise<Assignment | undefined>;
+} => {
 	const progress = createProgress();
-	const waiting = async (): Promise<Assignment | undefined> => {
-		const place = await line.enqueue(buildCall(clock, route, name, tokens), progress);
-		placed.push(place === undefined ? `no ${name}` : name);
-		return place;
+	const waitForAssignment = async (): Promise<Assignment | undefined> => {
+		const assignment = await queue.enqueue(buildCall(clock, route, name, tokens), progress);
+		dispatched.push(assignment === undefined ? `no ${name}` : name);
+		return assignment;
 	};
 
-	return {progress, place: waiting()};
+	return {progress, assignment: waitForAssignment()};
 };
 
 const manyReviews = Array.from({length: 6}, (_, index) => ({route: review, name: `review-${index}`, tokens: 16_000}));
 
-test('a burst of reviews leaves room for quick questions', async () => {
-	const bench = createBench([buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})]);
-	const placed: string[] = [];
+test('a burst of reviews leaves capacity for a question of a higher rank', async () => {
+	const setup = createTestSetup([buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})]);
+	const dispatched: string[] = [];
 	for (const item of manyReviews) {
-		enter(bench, item, placed);
+		enqueue(setup, item, dispatched);
 	}
 
-	await bench.clock.advance(0);
-	expect(placed).toEqual(['review-0', 'review-1']);
-	enter(bench, {route: question, name: 'question', tokens: 1000}, placed);
-	await bench.clock.advance(0);
-	expect(placed).toEqual(['review-0', 'review-1', 'question']);
+	await setup.clock.advance(0);
+	expect(dispatched).toEqual(['review-0', 'review-1']);
+	enqueue(setup, {route: question, name: 'question', tokens: 1000}, dispatched);
+	await setup.clock.advance(0);
+	expect(dispatched).toEqual(['review-0', 'review-1', 'question']);
 });
 
-test('a long line in a large fleet leaves the processor to other work', async () => {
-	const bench = createBench([buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})]);
-	const placed: string[] = [];
+test('with a long queue and frequent load reports, dispatch uses less than a quarter of the processor time', async () => {
+	const setup = createTestSetup([buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})]);
+	const dispatched: string[] = [];
 	for (let index = 0; index < 30; index++) {
-		enter(bench, {route: review, name: `review-${index}`, tokens: 16_000}, placed);
+		enqueue(setup, {route: review, name: `review-${index}`, tokens: 16_000}, dispatched);
 	}
 
-	await bench.clock.advance(0);
-	bench.looks.count = 0;
-	bench.looks.time = 0.2;
-	const from = bench.clock.monotonic();
-	// Each note of another host tells a new load.
-	for (let note = 0; note < 800; note++) {
-		bench.line.requestDispatch();
-		// eslint-disable-next-line no-await-in-loop -- One note after another.
-		await bench.clock.advance(1);
+	await setup.clock.advance(0);
+	setup.lookups.count = 0;
+	setup.lookups.time = 0.2;
+	const from = setup.clock.monotonic();
+	// Each load report of another host requests a dispatch pass.
+	for (let report = 0; report < 800; report++) {
+		setup.queue.requestDispatch();
+		// eslint-disable-next-line no-await-in-loop -- Reports arrive one at a time.
+		await setup.clock.advance(1);
 	}
 
-	const busy = bench.looks.count * bench.looks.time;
-	expect(bench.looks.count).toBeGreaterThan(30);
-	expect(busy / (bench.clock.monotonic() - from)).toBeLessThan(0.25);
+	const busy = setup.lookups.count * setup.lookups.time;
+	expect(setup.lookups.count).toBeGreaterThan(30);
+	expect(busy / (setup.clock.monotonic() - from)).toBeLessThan(0.25);
 });
 
-test('the next review goes when an engine has read the one before', async () => {
-	const bench = createBench([buildUpstream()]);
-	const placed: string[] = [];
-	const first = enter(bench, manyReviews[0]!, placed);
-	enter(bench, manyReviews[1]!, placed);
-	await bench.clock.advance(50);
-	expect(placed).toEqual(['review-0']);
-	const place = await first.place;
-	place?.load.finishPrefill();
-	await bench.clock.advance(20);
-	expect(placed).toEqual(['review-0', 'review-1']);
+test('the next review is dispatched once the prefill of the previous one is complete', async () => {
+	const setup = createTestSetup([buildUpstream()]);
+	const dispatched: string[] = [];
+	const first = enqueue(setup, manyReviews[0]!, dispatched);
+	enqueue(setup, manyReviews[1]!, dispatched);
+	await setup.clock.advance(50);
+	expect(dispatched).toEqual(['review-0']);
+	const assignment = await first.assignment;
+	assignment?.load.finishPrefill();
+	await setup.clock.advance(20);
+	expect(dispatched).toEqual(['review-0', 'review-1']);
 });
 
-test('a call whose caller has gone, or whose time is over, leaves the line', async () => {
-	const bench = createBench([buildUpstream()]);
-	const placed: string[] = [];
-	enter(bench, manyReviews[0]!, placed);
-	const second = enter(bench, manyReviews[1]!, placed);
-	await bench.clock.advance(5);
+test('a call whose caller has disconnected leaves the queue', async () => {
+	const setup = createTestSetup([buildUpstream()]);
+	const dispatched: string[] = [];
+	enqueue(setup, manyReviews[0]!, dispatched);
+	const second = enqueue(setup, manyReviews[1]!, dispatched);
+	await setup.clock.advance(5);
 	second.progress.isCallerGone = true;
 	second.progress.cancel?.();
-	await bench.clock.advance(0);
-	expect(placed).toEqual(['review-0', 'no review-1']);
-	expect(bench.line.getLength()).toBe(0);
+	await setup.clock.advance(0);
+	expect(dispatched).toEqual(['review-0', 'no review-1']);
+	expect(setup.queue.getLength()).toBe(0);
 });
 
-test('without an upstream a call does not wait', async () => {
-	const bench = createBench([]);
-	const placed: string[] = [];
-	enter(bench, manyReviews[0]!, placed);
-	await bench.clock.advance(0);
-	expect(placed).toEqual(['no review-0']);
+test('without an upstream a call is not queued', async () => {
+	const setup = createTestSetup([]);
+	const dispatched: string[] = [];
+	enqueue(setup, manyReviews[0]!, dispatched);
+	await setup.clock.advance(0);
+	expect(dispatched).toEqual(['no review-0']);
 });
 
-test('other hosts are told what waits, and that it waits no more', async () => {
-	const bench = createBench([buildUpstream()]);
-	const placed: string[] = [];
-	const first = enter(bench, manyReviews[0]!, placed);
-	enter(bench, manyReviews[1]!, placed);
-	await bench.clock.advance(20);
-	expect(bench.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
-	const place = await first.place;
-	place?.load.end();
-	await bench.clock.advance(20);
-	expect(bench.loads.getTotal('u1@1').awaitedTokens).toBe(0);
+test('queued tokens are reported to other hosts, and withdrawn once the call is dispatched', async () => {
+	const setup = createTestSetup([buildUpstream()]);
+	const dispatched: string[] = [];
+	const first = enqueue(setup, manyReviews[0]!, dispatched);
+	enqueue(setup, manyReviews[1]!, dispatched);
+	await setup.clock.advance(20);
+	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
+	const assignment = await first.assignment;
+	assignment?.load.end();
+	await setup.clock.advance(20);
+	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(0);
 });
 
-test('other hosts are told that a call waits no more when its caller has gone', async () => {
-	const bench = createBench([buildUpstream()]);
-	const placed: string[] = [];
-	enter(bench, manyReviews[0]!, placed);
-	const second = enter(bench, manyReviews[1]!, placed);
-	await bench.clock.advance(20);
-	expect(bench.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
+test('reported queued tokens are withdrawn when the caller disconnects', async () => {
+	const setup = createTestSetup([buildUpstream()]);
+	const dispatched: string[] = [];
+	enqueue(setup, manyReviews[0]!, dispatched);
+	const second = enqueue(setup, manyReviews[1]!, dispatched);
+	await setup.clock.advance(20);
+	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
 	second.progress.isCallerGone = true;
 	second.progress.cancel?.();
-	await bench.clock.advance(20);
-	expect(bench.loads.getTotal('u1@1').awaitedTokens).toBe(0);
+	await setup.clock.advance(20);
+	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(0);
 });
 
 const service = configuration.services[0]!;
 const upstreams = [buildUpstream({id: 'u1'}), buildUpstream({id: 'u2'})];
-const getCandidateIds = (board: UpstreamTracker): string[] => board.getCandidates(upstreams, service, undefined).map(({upstream}) => upstream.id);
-
-test('an upstream that can not be reached gets nothing for a while, unless all are so', async () => {
-	const {clock, board} = createBench(upstreams);
-	board.recordUnreachable(upstreams[0]!, 'test');
-	expect(getCandidateIds(board)).toEqual(['u2']);
-	board.recordUnreachable(upstreams[1]!, 'test');
-	expect(getCandidateIds(board)).toEqual(['u1', 'u2']);
+const getCandidateIds = (tracker: UpstreamTracker): string[] => tracker.getCandidates(upstreams, service, undefined).map(({upstream}) => upstream.id);
+
+test('an unreachable upstream is avoided for a growing backoff period, unless all upstreams are unreachable', async () => {
+	const {clock, tracker} = createTestSetup(upstreams);
+	tracker.recordUnreachable(upstreams[0]!, 'test');
+	expect(getCandidateIds(tracker)).toEqual(['u2']);
+	tracker.recordUnreachable(upstreams[1]!, 'test');
+	expect(getCandidateIds(tracker)).toEqual(['u1', 'u2']);
 	await clock.advance(500);
-	board.recordUnreachable(upstreams[0]!, 'test');
+	tracker.recordUnreachable(upstreams[0]!, 'test');
 	await clock.advance(500);
-	expect(getCandidateIds(board)).toEqual(['u2']);
+	expect(getCandidateIds(tracker)).toEqual(['u2']);
 });
 
-test('an upstream that went silent while requests wait there gets nothing new', async () => {
-	const {clock, board} = createBench(upstreams);
-	const exchange = board.startExchange(upstreams[0]!);
+test('an upstream that is silent while requests are in flight there gets no new ones', async () => {
+	const {clock, tracker} = createTestSetup(upstreams);
+	const exchange = tracker.startExchange(upstreams[0]!);
 	await clock.advance(800);
-	expect(getCandidateIds(board)).toEqual(['u2']);
+	expect(getCandidateIds(tracker)).toEqual(['u2']);
 	exchange.recordBytes();
-	expect(getCandidateIds(board)).toEqual(['u1', 'u2']);
+	expect(getCandidateIds(tracker)).toEqual(['u1', 'u2']);
 	await clock.advance(800);
 	exchange.end();
-	expect(getCandidateIds(board)).toEqual(['u1', 'u2']);
+	expect(getCandidateIds(tracker)).toEqual(['u1', 'u2']);
 });
--- a/packages/forwarder/src/send.test.ts
+++ b/packages/forwarder/src/send.test.ts
@@ -20,7 +20,7 @@
 	}),
 };
 
-/** Starts an upstream that answers each request as `answer` does with its socket. */
+/** Starts a stub upstream that calls `answer` with the socket and a count for each request. */
 const startUpstream = async (answer: (socket: Socket, count: number) => void): Promise<Server> => {
 	let count = 0;
 	const server = createServer(socket => {
@@ -53,18 +53,18 @@
 const readAnswer = async (outcome: SendOutcome): Promise<Body | undefined> =>
 	outcome.kind === 'answered' ? readBody(outcome.answer, 1000) : undefined;
 
-const pause = async (): Promise<void> => new Promise(resolve => {
+const waitForClose = async (): Promise<void> => new Promise(resolve => {
 	setTimeout(resolve, 30);
 });
 
-test('an answer without a length ends with an orderly close', async () => {
+test('an answer without a length is complete after an orderly close', async () => {
 	const server = await startUpstream(socket => {
 		socket.end('HTTP/1.1 200 OK\r\nAttempt: a1\r\n\r\nwhole');
 	});
 	expect(await readAnswer(await call(server))).toMatchObject({kind: 'whole'});
 });
 
-test('an answer without a length that is reset is broken', async () => {
+test('an answer without a length is broken after a reset', async () => {
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: a1\r\n\r\npart', () => {
 			setTimeout(() => {
@@ -75,7 +75,7 @@
 	expect(await readAnswer(await call(server))).toMatchObject({kind: 'broken'});
 });
 
-test('an answer that is reset right after its part came is broken', async () => {
+test('an answer without a length is broken if the reset arrives together with its data', async () => {
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: a1\r\n\r\npart', () => {
 			socket.resetAndDestroy();
@@ -86,7 +86,7 @@
 	expect(body === undefined || body.kind === 'broken').toBe(true);
 });
 
-test('a connection with bytes after its answer is not used again', async () => {
+test('a connection that delivers bytes after its answer is not reused', async () => {
 	let connections = 0;
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: a1\r\nContent-Length: 2\r\n\r\nok');
@@ -99,35 +99,35 @@
 	});
 	const agent = new UpstreamAgent();
 	expect(await readAnswer(await call(server, agent))).toMatchObject({kind: 'whole'});
-	await pause();
+	await waitForClose();
 	expect(await readAnswer(await call(server, agent))).toMatchObject({kind: 'whole'});
 	expect(connections).toBe(2);
 });
 
-test('bytes in one piece with the end of an answer belong to no request', async () => {
+test('bytes in the same chunk as the end of an answer are not taken for the next answer', async () => {
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: a1\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nAttempt: a1\r\nContent-Length: 2\r\n\r\nno');
 	});
 	const agent = new UpstreamAgent();
 	const first = await readAnswer(await call(server, agent));
 	expect(first?.kind === 'whole' ? Buffer.from(first.bytes).toString() : first).toBe('ok');
-	await pause();
+	await waitForClose();
 	const second = await readAnswer(await call(server, agent));
 	expect(second?.kind === 'whole' ? Buffer.from(second.bytes).toString() : second).toBe('ok');
 });
 
-test('the answer to another request is not taken', async () => {
+test('an answer to another attempt is rejected', async () => {
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: other\r\nContent-Length: 2\r\n\r\nok');
 	});
 	expect(await call(server)).toEqual({kind: 'broken', reason: 'answer-of-another-request'});
 });
 
-test('a refused connection has not run', async () => {
+test('a refused connection is reported as unreachable, so that the request is known not to have executed', async () => {
 	const server = await startUpstream(() => undefined);
 	const {port} = server.address() as AddressInfo;
 	server.close();
-	await pause();
+	await waitForClose();
 	expect(port).toBeGreaterThan(0);
 	const {outcome} = send({
 		upstream: {
@@ -138,7 +138,7 @@
 	expect(await outcome).toMatchObject({kind: 'unreachable'});
 });
 
-test('a connection that breaks before the answer may have run', async () => {
+test('a connection that breaks before the answer is reported as broken, as the request may have executed', async () => {
 	const server = await startUpstream(socket => {
 		socket.resetAndDestroy();
 	});
--- a/packages/forwarder/src/stop-host.test.ts
+++ b/packages/forwarder/src/stop-host.test.ts
@@ -3,14 +3,14 @@
 import {expect, test} from 'vitest';
 import {canAcceptRequest, stopHost} from './stop-host.js';
 
-const grace = 8000;
+const gracePeriod = 8000;
 
-const startStop = () => {
+const beginStop = () => {
 	const clock = createManualClock();
 	const state = {open: 1, isStopped: false, calls: [] as string[]};
 	const stopped = (async () => {
 		await stopHost({
-			clock, logger: createSilentLogger(), gracePeriod: grace, addressTtl: 3000, countOpenRequests: () => state.open,
+			clock, logger: createSilentLogger(), gracePeriod, addressTtl: 3000, countOpenRequests: () => state.open,
 			async announce() {
 				state.calls.push('announce');
 			},
@@ -23,8 +23,8 @@
 	return {clock, state, stopped};
 };
 
-test('a stop waits until callers know other addresses, though nothing is open', async () => {
-	const {clock, state} = startStop();
+test('a stopping host serves until callers know other addresses, even without open requests', async () => {
+	const {clock, state} = beginStop();
 	state.open = 0;
 	await clock.advance(2900);
 	expect(state.calls).toEqual(['announce']);
@@ -33,8 +33,8 @@
 	expect(state.calls).toEqual(['announce', 'release']);
 });
 
-test('a stop waits for open requests', async () => {
-	const {clock, state} = startStop();
+test('a stopping host waits for open requests', async () => {
+	const {clock, state} = beginStop();
 	await clock.advance(6000);
 	expect(state.isStopped).toBe(false);
 	state.open = 0;
@@ -42,15 +42,15 @@
 	expect(state.isStopped).toBe(true);
 });
 
-test('a stop ends before the grace does', async () => {
-	const {clock, state} = startStop();
-	await clock.advance(grace);
+test('a stop with an open request ends within the grace period', async () => {
+	const {clock, state} = beginStop();
+	await clock.advance(gracePeriod);
 	expect(state.isStopped).toBe(true);
 });
 
-test('a host that stops takes what callers send before they can know, and later only what fits', () => {
-	expect(canAcceptRequest(2000, grace, 10_000)).toBe(true);
-	expect(canAcceptRequest(5300, grace, 10_000)).toBe(false);
-	expect(canAcceptRequest(5300, grace, 1200)).toBe(true);
-	expect(canAcceptRequest(7500, grace, 1200)).toBe(false);
+test('a stopping host accepts all requests at first, and later only those that can end within the grace period', () => {
+	expect(canAcceptRequest(2000, gracePeriod, 10_000)).toBe(true);
+	expect(canAcceptRequest(5300, gracePeriod, 10_000)).toBe(false);
+	expect(canAcceptRequest(5300, gracePeriod, 1200)).toBe(true);
+	expect(canAcceptRequest(7500, gracePeriod, 1200)).toBe(false);
 });
--- a/packages/forwarder/src/test-deployment.ts
+++ b/packages/forwarder/src/test-deployment.ts
@@ -2,7 +2,7 @@
 import {buildConfiguration, buildRoute} from '@gentianlift/routing/testing';
 import {startTestHost, startUpstream, type TestHost} from './testing.js';
 
-/** Routes of each kind to one service. */
+/** Configuration with one route of each kind, all to one service. */
 export const configuration = buildConfiguration({
 	routes: [
 		buildRoute({name: 'read', pathPrefix: '/read/', timeout: 1500}),
@@ -18,18 +18,18 @@
 	],
 });
 
-/** How an upstream answers. */
+/** Request handler of a stub upstream. */
 export type AnswerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** Headers of an answer that bears the upstream mark. */
+/** Headers of an answer that is signed by the upstream. */
 export const signed = {signed: '1'};
-/** Answers with the id of the attempt. */
+/** Answers with status 200 and the id of the attempt. */
 export const answerOk: AnswerHandler = (request, response) => {
 	response.writeHead(200, {...signed, attempt: request.headers.attempt ?? ''});
 	response.end('ok');
 };
 
-/** Says that the request was not run. */
+/** Answers that the request was not executed. */
 export const rejectUnexecuted: AnswerHandler = (_, response) => {
 	response.writeHead(503, {'not-run': '1'});
 	response.end();
@@ -40,7 +40,7 @@
 	request.socket.resetAndDestroy();
 };
 
-/** Creates a function that starts a host with one upstream for each way to answer, and counts the requests that each got. */
+/** Creates a function that starts a host with one stub upstream for each handler, and counts the requests that each receives. */
 export const createHostStarter = (onFinished: (close: () => void) => void) => async (...answers: AnswerHandler[]): Promise<{host: TestHost; counts: number[]}> => {
 	const host = await startTestHost(configuration);
 	const counts = answers.map(() => 0);
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -18,19 +18,19 @@
 import type {ForwarderContext} from './context.js';
 import {createUpstreamTracker} from './upstream-tracker.js';
 
-/** A host with its listener of callers, for tests. */
+/** A host with its server for callers, for tests. */
 export type TestHost = {
 	port: number;
 	context: ForwarderContext;
 	logLines: string[];
 	loads: LoadBook;
-	/** Replaces the upstreams that the host knows. */
+	/** Replaces the upstreams that are listed at the host. */
 	setUpstreams: (upstreams: readonly Upstream[]) => void;
 	setStopping: (isStopping: boolean) => void;
 	close: () => void;
 };
 
-/** An answer as a caller sees it. */
+/** An answer as received by a caller. */
 export type TestAnswer = {status: number; headers: IncomingMessage['headers']; body: string; isWhole: boolean};
 
 const getValue = (headers: RawHeaders, name: string): string | undefined => {
@@ -38,16 +38,16 @@
 	return index === -1 ? undefined : headers[index + 1];
 };
 
-/** A wire of few words: `attempt`, `key`, `patience`, `last-event`, `not-run`, `signed`. */
+/** Minimal protocol with the headers `attempt`, `instance`, `key`, `timeout`, `last-event`, `not-run` and `signed`. */
 const protocol: Protocol = {
 	readCallerHead(headers) {
-		const patience = getValue(headers, 'patience');
+		const timeout = getValue(headers, 'timeout');
 		const lastEvent = getValue(headers, 'last-event');
 		return {
 			attempt: getValue(headers, 'attempt'),
 			hostname: 'a.example',
 			key: getValue(headers, 'key'),
-			patience: patience === undefined ? undefined : Number(patience),
+			patience: timeout === undefined ? undefined : Number(timeout),
 			prompt: undefined,
 			lastEvent: lastEvent === undefined ? undefined : Number(lastEvent),
 			declaresBody: getValue(headers, 'content-length') !== undefined,
@@ -61,7 +61,7 @@
 		caller.attempt ?? '',
 		'Instance',
 		upstream.id,
-		'Patience',
+		'Timeout',
 		String(timeLeft),
 		...(resumeAfter === undefined ? [] : ['Last-Event', String(resumeAfter)]),
 		'Content-Length',
@@ -85,7 +85,7 @@
 	return (server.address() as AddressInfo).port;
 };
 
-/** Starts a stand-in of an upstream; it closes with the test. */
+/** Starts a stub upstream on a free port; the caller closes its server. */
 export const startUpstream = async (id: string, answer: RequestListener): Promise<{upstream: Upstream; server: Server}> => {
 	const server = createServer(answer);
 	const port = await listenOnAnyPort(server);
@@ -97,7 +97,7 @@
 	};
 };
 
-const createNotes = (loads: LoadBook): NoteExchange => ({
+const createReports = (loads: LoadBook): NoteExchange => ({
 	addLoad(upstream, change) {
 		loads.addOwn(upstream, change, performance.now());
 	},
@@ -122,12 +122,12 @@
 	},
 });
 
-/** Starts a host that serves callers by the configuration. */
+/** Starts a host that serves callers with the configuration. */
 export const startTestHost = async (configuration: RoutingConfiguration, refresh = async () => undefined): Promise<TestHost> => {
 	const clock = createSystemClock();
-	const lines: string[] = [];
+	const logLines: string[] = [];
 	const logger = createLogger('info', line => {
-		lines.push(line);
+		logLines.push(line);
 	});
 	const loads = createLoadBook();
 	const upstreams = new Map<string, Upstream>();
@@ -149,7 +149,7 @@
 		protocol,
 		zone: 'a',
 		view,
-		reports: createNotes(loads),
+		reports: createReports(loads),
 		tracker: createUpstreamTracker({clock, logger, loads}),
 		suspects: createCrashSuspects(),
 		crashDetector: createCrashDetector(clock),
@@ -163,7 +163,7 @@
 	return {
 		port,
 		context,
-		logLines: lines,
+		logLines,
 		loads,
 		setUpstreams(next) {
 			upstreams.clear();
@@ -183,7 +183,7 @@
 	};
 };
 
-/** Sends a request as a caller and reads its answer. */
+/** Sends a request as a caller and resolves with its answer, which may be incomplete. */
 export const sendRequest = async (port: number, {path, method = 'POST', headers = {}, body = ''}: {
 	path: string; method?: string; headers?: Record<string, string>; body?: string;
 }): Promise<TestAnswer> => new Promise((resolve, reject) => {
