--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -19,6 +19,7 @@
 const streamSilenceTimeout: Milliseconds = 1000;
 /** Prefill rate of the slowest engines, in tokens per millisecond. */
 const minPrefillRate = 15;
+/** Interval at which the silence of an upstream is checked. */
 const silenceCheckInterval: Milliseconds = 200;
 
 /** Returns the longest wait for the head of an answer; while a retry is possible, part of the remaining time is left for it. */
@@ -27,6 +28,7 @@
 	return mayRetryElsewhere ? Math.min(timeLeft, Math.max(minFirstAttemptTimeout, timeLeft * firstAttemptFraction)) : timeLeft;
 };
 
+/** Builds the request to an upstream; a stream resumes after the last event that was delivered. */
 const buildUpstreamRequest = (call: Call, progress: Progress, upstream: Upstream, context: ForwarderContext): UpstreamRequest => {
 	const timeLeft = Math.max(1, Math.floor(call.deadline - context.clock.monotonic()));
 	const headers = context.protocol.writeUpstreamHead({
@@ -35,7 +37,7 @@
 		customer: call.customer?.name,
 		timeLeft,
 		rank: call.rank,
-		resumeAfter: progress.lastEvent,
+		resumeAfter: progress.lastEventId,
 		bodyLength: call.body.length,
 	});
 	return {
@@ -44,7 +46,7 @@
 		target: call.target,
 		headers,
 		body: call.body,
-		attempt: call.head.attempt,
+		attemptId: call.head.attempt,
 		headTimeout: getHeadTimeout(call, progress, timeLeft),
 	};
 };
--- a/packages/forwarder/src/call.ts
+++ b/packages/forwarder/src/call.ts
@@ -36,7 +36,7 @@
 	/** Attempts that may have executed the request. */
 	possibleExecutions: number;
 	/** Id of the last stream event delivered to the caller. */
-	lastEvent: number | undefined;
+	lastEventId: number | undefined;
 	isCallerGone: boolean;
 	hasTimedOut: boolean;
 	/** Factors of the last choice of an upstream, as logged. */
@@ -72,7 +72,7 @@
 	attempts: 0,
 	tried: new Set(),
 	possibleExecutions: 0,
-	lastEvent: undefined,
+	lastEventId: undefined,
 	isCallerGone: false,
 	hasTimedOut: false,
 	choice: undefined,
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -30,10 +30,10 @@
 const getNewEvents = (events: readonly StreamEvent[], progress: Progress): StreamEvent[] | undefined => {
 	const newEvents: StreamEvent[] = [];
 	for (const event of events) {
-		const last = progress.lastEvent;
+		const last = progress.lastEventId;
 		if (event.id === undefined || last === undefined || event.id === last + 1) {
 			newEvents.push(event);
-			progress.lastEvent = event.id ?? last;
+			progress.lastEventId = event.id ?? last;
 		} else if (event.id > last) {
 			return undefined;
 		}
--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -11,7 +11,7 @@
 test('an answer is delivered as the upstream sent it', async () => {
 	const {host} = await start(answerOk);
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}, body: 'x'})).toMatchObject({
-		status: 200, body: 'ok', isWhole: true, headers: {signed: '1', attempt: 'a1'},
+		status: 200, body: 'ok', isComplete: true, headers: {signed: '1', attempt: 'a1'},
 	});
 });
 
@@ -153,14 +153,14 @@
 test('a resumable stream is continued by another upstream without gaps or repeats', async () => {
 	const {host, counts} = await start(resetMidway, resetMidway);
 	const answer = await sendRequest(host.port, {path: '/stream/1', headers: {attempt: 'a1'}});
-	expect(answer).toMatchObject({status: 200, body: eventsUpTo(5), isWhole: true});
+	expect(answer).toMatchObject({status: 200, body: eventsUpTo(5), isComplete: true});
 	expect(sum(counts)).toBe(2);
 });
 
 test('a stream that may not be resumed ends visibly incomplete when its upstream fails', async () => {
 	const {host, counts} = await start(resetMidway, resetMidway);
 	const answer = await sendRequest(host.port, {path: '/once/1', headers: {attempt: 'a1'}});
-	expect(answer).toMatchObject({status: 200, isWhole: false});
+	expect(answer).toMatchObject({status: 200, isComplete: false});
 	expect(sum(counts)).toBe(1);
 });
 
@@ -171,7 +171,7 @@
 		writeEvents(response, 3, 4);
 		response.end();
 	});
-	expect(await sendRequest(host.port, {path: '/stream/1', headers: {attempt: 'a1'}})).toMatchObject({body: eventsUpTo(1), isWhole: false});
+	expect(await sendRequest(host.port, {path: '/stream/1', headers: {attempt: 'a1'}})).toMatchObject({body: eventsUpTo(1), isComplete: false});
 });
 
 test('a caller that disconnects cancels its stream at the upstream', async () => {
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -96,6 +96,7 @@
 		return isAllowed;
 	};
 
+	/** Counts an attempt by its outcome. */
 	const countAttempt = (progress: Progress, lastOutcome: AttemptOutcome): void => {
 		progress.attempts += lastOutcome.kind === 'unreachable' ? 0 : 1;
 		progress.possibleExecutions += lastOutcome.kind === 'failed' || lastOutcome.kind === 'spoiled' ? 1 : 0;
@@ -118,7 +119,7 @@
 	};
 
 	/** Makes attempts until the call has ended. */
-	const run = async (call: Call, progress: Progress): Promise<CallEnd> => {
+	const makeAttempts = async (call: Call, progress: Progress): Promise<CallEnd> => {
 		let lastOutcome: AttemptOutcome | undefined;
 		for (;;) {
 			if (progress.isCallerGone) {
@@ -197,7 +198,7 @@
 		onLoadChange: queue.requestDispatch,
 		async forward(call) {
 			const progress = createProgress();
-			progress.lastEvent = call.head.lastEvent;
+			progress.lastEventId = call.head.lastEvent;
 			getRetryBudget(call.service).addRequest(clock.monotonic());
 			const cancelTimer = clock.after(Math.max(0, call.deadline - clock.monotonic()), () => {
 				endOnTimeout(call, progress);
@@ -207,7 +208,7 @@
 					handleCallerDisconnect(call, progress);
 				}
 			});
-			const end = await run(call, progress);
+			const end = await makeAttempts(call, progress);
 			cancelTimer();
 			logEnd(call, progress, end);
 		},
--- a/packages/forwarder/src/protocol.ts
+++ b/packages/forwarder/src/protocol.ts
@@ -6,9 +6,10 @@
 
 /** Parsed headers of a caller's request. */
 export type CallerHead = {
-	/** The caller's id of this attempt. */
+	/** Id that the caller gave to this attempt of its request. */
 	attempt: string | undefined;
 	hostname: string;
+	/** Key that authenticates the caller. */
 	key: string | undefined;
 	/** Client timeout: how long the caller waits for the final answer. */
 	patience: Milliseconds | undefined;
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -48,6 +48,7 @@
 	let entries: QueuedRequest[] = [];
 	/** The next dispatch pass; undefined if none is scheduled. */
 	let nextDispatch: {at: Milliseconds; cancel: () => void} | undefined;
+	/** Earliest time of the next pass, by the pacing. */
 	let earliestDispatch = Number.NEGATIVE_INFINITY;
 	/** Upstreams for which queued tokens were reported to other hosts. */
 	let reportedUpstreams = new Set<UpstreamKey>();
@@ -56,11 +57,11 @@
 	const backlogLimits = new WeakMap<RouteTable, Map<string, Milliseconds>>();
 
 	const getRankBacklogLimit = (table: RouteTable, {service, rank}: Call): Milliseconds => {
-		const known = backlogLimits.get(table) ?? new Map<string, Milliseconds>();
-		backlogLimits.set(table, known);
+		const rankLimits = backlogLimits.get(table) ?? new Map<string, Milliseconds>();
+		backlogLimits.set(table, rankLimits);
 		const key = `${service}/${rank}`;
-		const limit = known.get(key) ?? getBacklogLimit(table.configuration.routes, service, rank);
-		known.set(key, limit);
+		const limit = rankLimits.get(key) ?? getBacklogLimit(table.configuration.routes, service, rank);
+		rankLimits.set(key, limit);
 		return limit;
 	};
 
@@ -85,6 +86,7 @@
 		return tracker.getCandidates(upstreams, service, call.head.prompt, queuedTokens);
 	};
 
+	/** Chooses an upstream for a call, and decides whether the call may go to it now; calls without a prompt are exempt from the backlog limit. */
 	const decide = (entry: QueuedRequest, queuedTokens: QueuedTokens): Decision => {
 		const {call} = entry;
 		const table = view.getRoutes();
@@ -137,6 +139,7 @@
 		}
 	};
 
+	/** Reports large changes of queued tokens to the other hosts, and always that none are left. */
 	const reportQueuedTokens = (queuedTokens: QueuedTokens): void => {
 		for (const key of new Set([...reportedUpstreams, ...queuedTokens.keys()])) {
 			const change = (queuedTokens.get(key) ?? 0) - tracker.getReportedQueuedTokens(key);
@@ -148,6 +151,7 @@
 		reportedUpstreams = new Set(queuedTokens.keys());
 	};
 
+	/** Makes a dispatch pass: dispatches what it can in queue order and reports the tokens that stay queued. */
 	const dispatch = (): void => {
 		nextDispatch = undefined;
 		const startedAt = clock.monotonic();
--- a/packages/forwarder/src/send.ts
+++ b/packages/forwarder/src/send.ts
@@ -15,7 +15,7 @@
 	headers: RawHeaders;
 	body: Uint8Array;
 	/** Id of the attempt; an answer that names another one is rejected. */
-	attempt: string | undefined;
+	attemptId: string | undefined;
 	/** Longest wait for the head of the answer. */
 	headTimeout: Milliseconds;
 };
@@ -59,9 +59,9 @@
 };
 
 /** Classifies an answer by its head; closes the connection of an answer to another attempt and of an unsigned success. */
-const classifyAnswer = (answer: Incoming, head: AnswerHead, attempt: string | undefined): SendOutcome => {
+const classifyAnswer = (answer: Incoming, head: AnswerHead, attemptId: string | undefined): SendOutcome => {
 	const {message} = answer;
-	const isMismatched = head.attempt !== undefined && attempt !== undefined && head.attempt !== attempt;
+	const isMismatched = head.attempt !== undefined && attemptId !== undefined && head.attempt !== attemptId;
 	if (isMismatched) {
 		message.destroy();
 		return {kind: 'broken', reason: 'answer-of-another-request'};
@@ -115,7 +115,7 @@
 			agent.recordAnswer(message.socket, message);
 			const {socket} = message;
 			const answer = {message, hasFailed: () => hasFailed || agent.wasReset(socket)};
-			finish(classifyAnswer(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), upstreamRequest.attempt));
+			finish(classifyAnswer(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), upstreamRequest.attemptId));
 		});
 		exchange.on('error', error => {
 			hasFailed = true;
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -133,9 +133,9 @@
 
 	/** Admits a request, and before a final refusal checks once more with the newest state, because callers don't retry after it. */
 	const admitWithRefresh = async (head: CallerHead, target: string): Promise<Admission> => {
-		const first = admit(head, target);
-		if (first.kind === 'admitted' || errorTable[first.error].status === 503) {
-			return first;
+		const admission = admit(head, target);
+		if (admission.kind === 'admitted' || errorTable[admission.error].status === 503) {
+			return admission;
 		}
 
 		await refreshIfStale();
--- a/packages/forwarder/src/stop-host.ts
+++ b/packages/forwarder/src/stop-host.ts
@@ -20,6 +20,7 @@
 
 /** Part of the grace period that is reserved for the release. */
 const releaseMargin: Milliseconds = 300;
+/** Interval at which the number of open requests is polled. */
 const checkInterval: Milliseconds = 50;
 
 /** Time after the signal during which callers may not know of the stop yet, and all requests are accepted. */
@@ -43,7 +44,7 @@
 	const maxServingTime = gracePeriod - releaseMargin;
 	const minServingTime = Math.min(addressTtl, maxServingTime);
 	while (getElapsed() < minServingTime || (countOpenRequests() > 0 && getElapsed() < maxServingTime)) {
-		// eslint-disable-next-line no-await-in-loop -- Polls until the condition holds.
+		// eslint-disable-next-line no-await-in-loop -- Polls the number of open requests.
 		await clock.sleep(checkInterval);
 	}
 
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -22,6 +22,7 @@
 export type TestHost = {
 	port: number;
 	context: ForwarderContext;
+	/** Lines that the host has logged. */
 	logLines: string[];
 	loads: LoadBook;
 	/** Replaces the upstreams that are listed at the host. */
@@ -31,7 +32,7 @@
 };
 
 /** An answer as received by a caller. */
-export type TestAnswer = {status: number; headers: IncomingMessage['headers']; body: string; isWhole: boolean};
+export type TestAnswer = {status: number; headers: IncomingMessage['headers']; body: string; isComplete: boolean};
 
 const getValue = (headers: RawHeaders, name: string): string | undefined => {
 	const index = headers.findIndex((item, position) => position % 2 === 0 && item.toLowerCase() === name);
@@ -198,7 +199,7 @@
 		message.on('error', () => undefined);
 		message.on('close', () => {
 			resolve({
-				status: message.statusCode ?? 0, headers: message.headers, body: text, isWhole: message.complete,
+				status: message.statusCode ?? 0, headers: message.headers, body: text, isComplete: message.complete,
 			});
 		});
 	});
--- a/packages/forwarder/src/upstream-tracker.ts
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -65,8 +65,8 @@
 const silenceTimeout: Milliseconds = 700;
 
 /** First backoff period of an unreachable upstream; doubles with each failure in a row. */
-const minAvoidance: Milliseconds = 400;
-const maxAvoidance: Milliseconds = 3200;
+const minBackoff: Milliseconds = 400;
+const maxBackoff: Milliseconds = 3200;
 /** Weight of the newest duration in the moving average. */
 const durationWeight = 0.15;
 /** Bounds of the ratio of an upstream's mean duration to the median of all upstreams. */
@@ -82,6 +82,7 @@
 /** Expected number of shared tokens that the preferred upstream of a prompt has cached beyond the most that any upstream is known to have. */
 type AffinityEstimate = {preferred: UpstreamKey | undefined; tokens: number};
 
+/** Estimates what the preferred upstream has cached, where `maxSharedTokens` is the most that any upstream is known to have. */
 const estimateAffinity = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): AffinityEstimate => {
 	const shared = prompt.parts.slice(0, -1).reduce((sum, {tokens}) => sum + tokens, 0);
 	return {preferred: getPromptHome(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
@@ -92,6 +93,7 @@
 	return sorted[Math.floor(sorted.length / 2)];
 };
 
+/** Returns the ratio of a mean duration to the median, within bounds; 1 if either is unknown. */
 const getSlowness = (duration: Milliseconds | undefined, median: Milliseconds | undefined): number => {
 	if (duration === undefined || median === undefined || median === 0) {
 		return 1;
@@ -198,7 +200,7 @@
 		},
 		recordUnreachable(upstream, reason) {
 			const state = getState(getUpstreamKey(upstream));
-			const backoff = Math.min(maxAvoidance, minAvoidance * (2 ** state.connectFailures));
+			const backoff = Math.min(maxBackoff, minBackoff * (2 ** state.connectFailures));
 			state.connectFailures += 1;
 			state.avoidedUntil = clock.monotonic() + backoff;
 			logger.info('upstream-avoided', {upstream: getUpstreamKey(upstream), reason, for: backoff});
