--- /dev/null
+++ b/packages/forwarder/src/deliver-buffered.ts
@@ -0,0 +1,42 @@
+import type {AttemptOutcome, BufferedAnswer} from './attempt-outcome.js';
+import type {Call} from './call.js';
+import {writeAnswerHead} from './deliver.js';
+import {readBody} from './read-body.js';
+import type {SendOutcome} from './send.js';
+
+/** Size limit of the body of a buffered answer. */
+const maxBufferedBytes = 16 * 1024 * 1024;
+
+/** Whether a status reports that the upstream failed to execute the request. */
+export const isServerError = (status: number): boolean => status >= 500;
+/** Whether callers take a status as a statement that the request was not executed. */
+const impliesNotExecuted = (status: number): boolean => [408, 421, 429, 503].includes(status);
+
+/** Buffers an answer until it is complete, and delivers it unless the request may be retried after a server error. */
+export const deliverBuffered = async (call: Call, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>, isClosing: boolean): Promise<AttemptOutcome> => {
+	const body = await readBody(answer, maxBufferedBytes);
+	if (body.kind !== 'whole') {
+		return {kind: 'failed', reason: body.kind === 'broken' ? body.reason : body.kind};
+	}
+
+	if (impliesNotExecuted(head.status)) {
+		// The upstream doesn't state that it has not executed the request, so the caller must not get a status that implies it.
+		return {kind: 'failed', reason: `status-${head.status}`};
+	}
+
+	const bufferedAnswer = {head, bytes: body.bytes};
+	if (isServerError(head.status) && call.isRetryable) {
+		return {kind: 'failed', reason: `status-${head.status}`, buffered: bufferedAnswer};
+	}
+
+	writeBufferedAnswer(call, bufferedAnswer, isClosing);
+	return {kind: 'delivered', status: head.status};
+};
+
+/** Writes a complete answer to the caller. */
+export const writeBufferedAnswer = ({response}: Call, {head, bytes}: BufferedAnswer, isClosing: boolean): void => {
+	const hasLength = head.forwarded.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length');
+	const length = hasLength ? [] : ['Content-Length', String(bytes.length)];
+	writeAnswerHead(response, {...head, forwarded: [...head.forwarded, ...length]}, isClosing);
+	response.end(bytes);
+};
--- a/packages/forwarder/src/guards.test.ts
+++ b/packages/forwarder/src/guards.test.ts
@@ -1,22 +1,22 @@
 import {expect, onTestFinished, test} from 'vitest';
 import {getFingerprint, type Call} from './call.js';
 import {
-	answerOk, reject, signed, createStart, sum,
+	answerOk, rejectUnexecuted, signed, createHostStarter, sum,
 } from './test-deployment.js';
 import {sendRequest} from './testing.js';
 
-const start = createStart(onTestFinished);
+const start = createHostStarter(onTestFinished);
 
 const getCrashes = (fingerprint: string): Array<{fingerprint: string; upstream: string}> =>
 	['x@1', 'y@1', 'z@1'].map(upstream => ({fingerprint, upstream}));
 
-test('a copy of a request that crashed three upstreams reaches none, and other requests do', async () => {
+test('copies of a request that crashed three upstreams are refused, other requests are not', async () => {
 	const {host, counts} = await start(answerOk);
 	const call = {
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
 	};
 	for (const crash of getCrashes(getFingerprint(call as unknown as Call))) {
-		host.tools.suspects.add(crash, performance.now());
+		host.context.suspects.add(crash, performance.now());
 	}
 
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 500});
@@ -24,26 +24,26 @@
 	expect(await sendRequest(host.port, {path: '/book/2', headers: {attempt: 'a2'}})).toMatchObject({status: 200});
 });
 
-test('a suspect that runs to its end is cleared', async () => {
+test('a suspected request that runs to its end is cleared', async () => {
 	const {host} = await start(answerOk);
 	const call = {
 		method: 'POST', target: '/book/1', head: {key: undefined}, body: new Uint8Array(),
 	};
 	const [crash] = getCrashes(getFingerprint(call as unknown as Call));
-	host.tools.suspects.add(crash!, performance.now());
+	host.context.suspects.add(crash!, performance.now());
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
-	await expect.poll(() => host.tools.suspects.isEmpty()).toBe(true);
+	await expect.poll(() => host.context.suspects.isEmpty()).toBe(true);
 });
 
-test('resends stop with the retry budget', async () => {
-	const {host, counts} = await start(reject, reject);
-	host.tools.retryBound.minimum = 0;
-	host.tools.retryBound.ratio = 0;
+test('retries stop when the retry budget is exhausted', async () => {
+	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted);
+	host.context.retryBound.minimum = 0;
+	host.context.retryBound.ratio = 0;
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 503});
 	expect(sum(counts)).toBe(1);
 });
 
-test('an upstream that answers before it has read a long body gets the rest of that body', async () => {
+test('an upstream that answers before it has received a long body still receives the rest', async () => {
 	const received: number[] = [];
 	const {host} = await start((request, response) => {
 		let length = 0;
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -11,43 +11,44 @@
 import {
 	createCrashSuspects, type RoutingConfiguration, type Upstream,
 } from '@gentianlift/routing';
-import {createCrashWatch} from './crash-watch.js';
+import {createCrashDetector} from './crash-detector.js';
 import {createForwarder} from './forward.js';
 import type {Protocol, RawHeaders} from './protocol.js';
 import {createCallerServer} from './serve-callers.js';
-import type {Tools} from './tools.js';
-import {createUpstreamBoard} from './upstream-board.js';
+import type {ForwarderContext} from './context.js';
+import {createUpstreamTracker} from './upstream-tracker.js';
 
-/** A host with its listener of callers, for tests. */
+/** A host with its server for callers, for tests. */
 export type TestHost = {
 	port: number;
-	tools: Tools;
-	lines: string[];
+	context: ForwarderContext;
+	/** Lines that the host has logged. */
+	logLines: string[];
 	loads: LoadBook;
-	/** Replaces the upstreams that the host knows. */
+	/** Replaces the upstreams that are listed at the host. */
 	setUpstreams: (upstreams: readonly Upstream[]) => void;
 	setStopping: (isStopping: boolean) => void;
 	close: () => void;
 };
 
-/** An answer as a caller sees it. */
-export type TestAnswer = {status: number; headers: IncomingMessage['headers']; body: string; isWhole: boolean};
+/** An answer as received by a caller. */
+export type TestAnswer = {status: number; headers: IncomingMessage['headers']; body: string; isComplete: boolean};
 
 const getValue = (headers: RawHeaders, name: string): string | undefined => {
 	const index = headers.findIndex((item, position) => position % 2 === 0 && item.toLowerCase() === name);
 	return index === -1 ? undefined : headers[index + 1];
 };
 
-/** A wire of few words: `attempt`, `key`, `patience`, `last-event`, `not-run`, `signed`. */
+/** Minimal protocol with the headers `attempt`, `instance`, `key`, `timeout`, `last-event`, `not-run` and `signed`. */
 const protocol: Protocol = {
 	readCallerHead(headers) {
-		const patience = getValue(headers, 'patience');
+		const timeout = getValue(headers, 'timeout');
 		const lastEvent = getValue(headers, 'last-event');
 		return {
 			attempt: getValue(headers, 'attempt'),
 			hostname: 'a.example',
 			key: getValue(headers, 'key'),
-			patience: patience === undefined ? undefined : Number(patience),
+			patience: timeout === undefined ? undefined : Number(timeout),
 			prompt: undefined,
 			lastEvent: lastEvent === undefined ? undefined : Number(lastEvent),
 			declaresBody: getValue(headers, 'content-length') !== undefined,
@@ -61,7 +62,7 @@
 		caller.attempt ?? '',
 		'Instance',
 		upstream.id,
-		'Patience',
+		'Timeout',
 		String(timeLeft),
 		...(resumeAfter === undefined ? [] : ['Last-Event', String(resumeAfter)]),
 		'Content-Length',
@@ -85,7 +86,7 @@
 	return (server.address() as AddressInfo).port;
 };
 
-/** Starts a stand-in of an upstream; it closes with the test. */
+/** Starts a stub upstream on a free port; the caller closes its server. */
 export const startUpstream = async (id: string, answer: RequestListener): Promise<{upstream: Upstream; server: Server}> => {
 	const server = createServer(answer);
 	const port = await listenOnAnyPort(server);
@@ -97,7 +98,7 @@
 	};
 };
 
-const createNotes = (loads: LoadBook): NoteExchange => ({
+const createReports = (loads: LoadBook): NoteExchange => ({
 	addLoad(upstream, change) {
 		loads.addOwn(upstream, change, performance.now());
 	},
@@ -114,20 +115,20 @@
 	close: () => undefined,
 });
 
-const createView = (tools: Pick<Tools, 'logger'>, configuration: RoutingConfiguration, upstreams: Map<string, Upstream>): FleetView => createFleetView({
-	logger: tools.logger,
+const createView = (context: Pick<ForwarderContext, 'logger'>, configuration: RoutingConfiguration, upstreams: Map<string, Upstream>): FleetView => createFleetView({
+	logger: context.logger,
 	decode({key}) {
 		const upstream = upstreams.get(key);
 		return upstream === undefined ? {kind: 'configuration', configuration} : {kind: 'upstream', upstream};
 	},
 });
 
-/** Starts a host that serves callers by the configuration. */
+/** Starts a host that serves callers with the configuration. */
 export const startTestHost = async (configuration: RoutingConfiguration, refresh = async () => undefined): Promise<TestHost> => {
 	const clock = createSystemClock();
-	const lines: string[] = [];
+	const logLines: string[] = [];
 	const logger = createLogger('info', line => {
-		lines.push(line);
+		logLines.push(line);
 	});
 	const loads = createLoadBook();
 	const upstreams = new Map<string, Upstream>();
@@ -141,7 +142,7 @@
 	};
 
 	setEntries();
-	const tools: Tools = {
+	const context: ForwarderContext = {
 		clock,
 		random: createRandom(1),
 		logger,
@@ -149,21 +150,21 @@
 		protocol,
 		zone: 'a',
 		view,
-		notes: createNotes(loads),
-		board: createUpstreamBoard({clock, logger, loads}),
+		reports: createReports(loads),
+		tracker: createUpstreamTracker({clock, logger, loads}),
 		suspects: createCrashSuspects(),
-		crashes: createCrashWatch(clock),
+		crashDetector: createCrashDetector(clock),
 		retryBound: {ratio: 0.2, minimum: 54, window: 10_000},
 		countHosts: () => 1,
 		isStopping: () => isStopping,
-		mayTake: () => !isStopping,
+		canAccept: () => !isStopping,
 	};
-	const {server} = createCallerServer({tools, forwarder: createForwarder(tools), refresh});
+	const {server} = createCallerServer({context, forwarder: createForwarder(context), refresh});
 	const port = await listenOnAnyPort(server);
 	return {
 		port,
-		tools,
-		lines,
+		context,
+		logLines,
 		loads,
 		setUpstreams(next) {
 			upstreams.clear();
@@ -183,7 +184,7 @@
 	};
 };
 
-/** Sends a request as a caller and reads its answer. */
+/** Sends a request as a caller and resolves with its answer, which may be incomplete. */
 export const sendRequest = async (port: number, {path, method = 'POST', headers = {}, body = ''}: {
 	path: string; method?: string; headers?: Record<string, string>; body?: string;
 }): Promise<TestAnswer> => new Promise((resolve, reject) => {
@@ -198,7 +199,7 @@
 		message.on('error', () => undefined);
 		message.on('close', () => {
 			resolve({
-				status: message.statusCode ?? 0, headers: message.headers, body: text, isWhole: message.complete,
+				status: message.statusCode ?? 0, headers: message.headers, body: text, isComplete: message.complete,
 			});
 		});
 	});
