--- /dev/null
+++ b/packages/discovery/src/exchange-reports.ts
@@ -0,0 +1,229 @@
+import type {Clock} from '@gentianlift/clock';
+import type {Logger} from '@gentianlift/logger';
+import type {
+	Crash, CrashSuspects, UpstreamKey,
+} from '@gentianlift/routing';
+import type {HostId, Milliseconds} from '@gentianlift/types';
+import type {HostRecord} from './host-record.js';
+import {createHostStatusTracker, type HostStatus} from './host-status.js';
+import type {LoadReport, Prefill} from './load-report.js';
+import type {CausedLoad, LoadBook} from './load-tracker.js';
+import type {ChangeBatch} from './packet.js';
+import {startReportBroadcaster} from './report-broadcast.js';
+
+/** Exchanges load reports with the other hosts. */
+export type NoteExchange = {
+	/** Adds a change to the load that this host causes, and schedules a report to the others. */
+	addLoad: (upstream: UpstreamKey, change: CausedLoad) => void;
+	/** Reports that a prompt was sent to an upstream. */
+	addReading: (prefill: Prefill) => void;
+	/** Reports a crash of an upstream that a request may have caused. */
+	addCrash: (crash: Crash) => void;
+	/** Reports that a suspected request has run to completion. */
+	addCleared: (fingerprint: string) => void;
+	/** Reports at once that this host is shutting down. */
+	markStopping: () => void;
+	/** Returns the newest revision of the key-value service that recent reports name; 0 without a recent report. */
+	getNewestRevision: () => number;
+	/** Returns the time since the last report of any other host; infinite if there was none. */
+	getShortestSilence: () => Milliseconds;
+	/** Returns the time since the last report of a host; infinite if there was none. */
+	getSilence: (host: HostId) => Milliseconds;
+	/** Returns whether a host has reported that it is shutting down. */
+	isStopping: (host: HostId) => boolean;
+	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
+	addChanges: (batch: ChangeBatch) => void;
+	/** Returns whether a relay currently sends this host the changes of the key-value service. */
+	isFed: () => boolean;
+	close: () => void;
+};
+
+/** Options of the exchange. */
+export type ReportExchangeOptions = {
+	/** This host. */
+	own: HostRecord;
+	getOthers: () => HostRecord[];
+	clock: Clock;
+	logger: Logger;
+	loads: LoadBook;
+	suspects: CrashSuspects;
+	getRevision: () => number;
+	/** Returns whether this host itself reaches the key-value service. */
+	isStoreReached: () => boolean;
+	/** Called with each prompt that another host has sent to an upstream. */
+	onPrefill: (prefill: Prefill) => void;
+	/** Called after the load of other hosts has changed. */
+	onLoad: () => void;
+	/** Called with the changes of the key-value service that a relay has sent. */
+	onChanges: (batch: ChangeBatch) => void;
+};
+
+/** Delay in which changes are collected into one report. */
+const batchDelay: Milliseconds = 3;
+/** Largest fleet whose reports need no minimum spacing. */
+const maxUnspacedHosts = 16;
+/** Minimum time between two reports of a host, per host of the fleet: it keeps the total rate independent of the fleet's size. */
+const reportSpacingPerHost: Milliseconds = 0.8;
+/** Interval of full reports, which repeat loads that have changed lately. */
+const fullReportInterval: Milliseconds = 500;
+/** Number of full reports that repeat a load after a change, as datagrams get lost. */
+const loadRepeats = 3;
+/** Age of a host's last report up to which its status counts as current. */
+const statusLifetime: Milliseconds = 2000;
+/** Number of reports that carry a crash, as datagrams get lost. */
+const crashRepeats = 6;
+
+type PendingCrash = {crash: Crash; remainingReports: number};
+
+/** Starts to exchange load reports with the other hosts. */
+export const exchangeReports = (options: ReportExchangeOptions): NoteExchange => {
+	const {
+		clock, logger, loads, suspects,
+	} = options;
+	const {host, incarnation} = options.own;
+	const statuses = createHostStatusTracker();
+	const changedUpstreams = new Set<UpstreamKey>();
+	/** Number of full reports that have yet to repeat the load of an upstream. */
+	const remainingRepeats = new Map<UpstreamKey, number>();
+	let prefills: Prefill[] = [];
+	let pendingCrashes: PendingCrash[] = [];
+	let cleared: string[] = [];
+	let isStopping = false;
+	let isScheduled = false;
+	let sentAt = Number.NEGATIVE_INFINITY;
+	let sequence = 0;
+
+	const getRecentStatuses = (): HostStatus[] => {
+		const now = clock.monotonic();
+		return statuses.getAll().filter(({reportedAt}) => now - reportedAt < statusLifetime);
+	};
+
+	const buildReport = (isFull: boolean): LoadReport => {
+		sequence += 1;
+		const own = loads.getOwnLoads();
+		return {
+			host,
+			incarnation,
+			sequence,
+			revision: options.getRevision(),
+			isStopping,
+			loads: own.filter(({upstream}) => isFull ? (remainingRepeats.get(upstream) ?? 0) > 0 : changedUpstreams.has(upstream)),
+			prefills,
+			crashes: pendingCrashes.map(({crash}) => crash),
+			cleared,
+		};
+	};
+
+	const send = (isFull: boolean): void => {
+		sentAt = clock.monotonic();
+		broadcaster.send(buildReport(isFull));
+		changedUpstreams.clear();
+		prefills = [];
+		cleared = [];
+		pendingCrashes = pendingCrashes.map(({crash, remainingReports}) => ({crash, remainingReports: remainingReports - 1})).filter(({remainingReports}) => remainingReports > 0);
+	};
+
+	const getDelay = (): Milliseconds => {
+		const hosts = options.getOthers().length + 1;
+		const spacing = hosts > maxUnspacedHosts ? hosts * reportSpacingPerHost : 0;
+		return Math.max(batchDelay, sentAt + spacing - clock.monotonic());
+	};
+
+	const schedule = (): void => {
+		if (isScheduled) {
+			return;
+		}
+
+		isScheduled = true;
+		clock.after(getDelay(), () => {
+			isScheduled = false;
+			send(false);
+		});
+	};
+
+	const applyReport = (report: LoadReport): void => {
+		const now = clock.monotonic();
+		if (report.host === host || !statuses.apply(report, now)) {
+			return;
+		}
+
+		loads.setReported(report.host, report.incarnation, report.loads, now);
+		options.onLoad();
+		for (const prefill of report.prefills) {
+			options.onPrefill(prefill);
+		}
+
+		for (const fingerprint of report.cleared) {
+			suspects.clear(fingerprint);
+		}
+
+		for (const crash of report.crashes) {
+			if (suspects.add(crash, now)) {
+				logger.info('crash-told', {from: report.host, fingerprint: crash.fingerprint, upstream: crash.upstream});
+			}
+		}
+	};
+
+	const broadcaster = startReportBroadcaster({
+		own: options.own, getOthers: options.getOthers, clock, logger, onReport: applyReport, onChanges: options.onChanges,
+	});
+	const sendFullReport = (): void => {
+		send(true);
+		for (const [upstream, left] of remainingRepeats) {
+			if (left > 1) {
+				remainingRepeats.set(upstream, left - 1);
+			} else {
+				remainingRepeats.delete(upstream);
+			}
+		}
+	};
+
+	const {every} = clock;
+	const cancel = every(fullReportInterval, () => {
+		loads.dropSilentHosts(clock.monotonic());
+		sendFullReport();
+		if (options.isStoreReached()) {
+			const revision = options.getRevision();
+			broadcaster.sendChanges({after: revision, revision, changes: []});
+		}
+	});
+
+	return {
+		addLoad(upstream, change) {
+			loads.addOwn(upstream, change, clock.monotonic());
+			changedUpstreams.add(upstream);
+			remainingRepeats.set(upstream, loadRepeats);
+			schedule();
+		},
+		addReading(prefill) {
+			prefills.push(prefill);
+			schedule();
+		},
+		addCleared(fingerprint) {
+			pendingCrashes = pendingCrashes.filter(({crash}) => crash.fingerprint !== fingerprint);
+			cleared.push(fingerprint);
+			schedule();
+		},
+		addCrash(crash) {
+			pendingCrashes.push({crash, remainingReports: crashRepeats});
+			schedule();
+		},
+		markStopping() {
+			isStopping = true;
+			send(true);
+		},
+		getNewestRevision: () => Math.max(0, ...getRecentStatuses().map(({revision}) => revision)),
+		getShortestSilence() {
+			const latest = Math.max(Number.NEGATIVE_INFINITY, ...statuses.getAll().map(({reportedAt}) => reportedAt));
+			return clock.monotonic() - latest;
+		},
+		getSilence: id => clock.monotonic() - (statuses.get(id)?.reportedAt ?? Number.NEGATIVE_INFINITY),
+		isStopping: id => statuses.get(id)?.isStopping ?? false,
+		addChanges: broadcaster.sendChanges,
+		isFed: broadcaster.hasRelayFeed,
+		close() {
+			cancel();
+			broadcaster.close();
+		},
+	};
+};
--- a/packages/discovery/src/fleet-view.test.ts
+++ b/packages/discovery/src/fleet-view.test.ts
@@ -5,7 +5,7 @@
 import {createFleetView, type FleetItem} from './fleet-view.js';
 import {getHostKey} from './host-record.js';
 
-/** Entries of tests: `c:VERSION`, `u:STARTED:ready|leaving`, or anything unreadable. */
+/** Decodes the entries of these tests: `c:VERSION`, `u:STARTED:ready|leaving`; anything else is unreadable. */
 const decode = ({key, value}: Entry): FleetItem => {
 	const [kind, number = '', phase] = value.split(':');
 	if (kind === 'c') {
@@ -51,7 +51,7 @@
 
 const getIds = (view: ReturnType<typeof createFleetView>): string[] => view.getUpstreams('s').map(({id}) => id);
 
-test('versions of the configuration only rise', () => {
+test('a configuration with a lower version is ignored, and a snapshot without one keeps the current one', () => {
 	const {view} = createView();
 	view.applyChanges([{kind: 'written', entry: entry('op', 'c:7', 5)}], 5, 0);
 	view.applyChanges([{kind: 'written', entry: entry('op', 'c:4', 6)}], 6, 0);
@@ -61,7 +61,7 @@
 	expect(view.getRoutes()).toEqual(buildRouteTable(view.getRoutes()!.configuration));
 });
 
-test('an upstream that leaves takes no new work', () => {
+test('an upstream that is leaving accepts no new requests', () => {
 	const {view} = createView();
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:1:ready', 1)}], 1, 0);
 	expect(getIds(view)).toEqual(['u1']);
@@ -69,7 +69,7 @@
 	expect(getIds(view)).toEqual([]);
 });
 
-test('a restart under the same id is another incarnation', () => {
+test('a restart under the same id is a new incarnation', () => {
 	const {view, removed} = createView();
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:1:ready', 1)}], 1, 0);
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:2:ready', 2)}], 2, 0);
@@ -78,7 +78,7 @@
 	expect(view.isUsable('u1@1')).toBe(false);
 });
 
-test('an entry that becomes unreadable names no upstream, the others hold', () => {
+test('an entry that becomes unreadable removes its upstream and no other', () => {
 	const {view, lines} = createView();
 	view.applyChanges([
 		{kind: 'written', entry: entry('u1', 'u:1:ready', 1)},
@@ -89,7 +89,7 @@
 	expect(lines.join('')).toContain('event=entry-unreadable key=u1');
 });
 
-test('an entry that is removed while the service is well is gone at once', () => {
+test('an entry that is removed while the service is reachable is removed at once', () => {
 	const {view, removed} = createView();
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:1:ready', 1)}], 1, 10_000);
 	view.applyChanges([{kind: 'removed', key: 'u1', revision: 2}], 2, 10_000);
@@ -97,18 +97,18 @@
 	expect(removed).toEqual(['u1@1']);
 });
 
-test('entries that lapsed in an outage are kept for two seconds after it', () => {
+test('entries whose leases expired in an outage are kept for two seconds after it', () => {
 	const {view} = createView();
-	view.applyContact(true, 0);
+	view.recordContact(true, 0);
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:1:ready', 1)}, {kind: 'written', entry: entry('u2', 'u:1:ready', 2)}], 2, 0);
-	view.applyContact(false, 1000);
-	view.applyContact(true, 9000);
+	view.recordContact(false, 1000);
+	view.recordContact(true, 9000);
 	view.applySnapshot({entries: [], revision: 9}, 9000);
 	expect(getIds(view)).toEqual(['u1', 'u2']);
 	view.applyChanges([{kind: 'written', entry: entry('u2', 'u:1:ready', 10)}], 10, 10_000);
-	view.dropLapsed(10_900);
+	view.applyDeferredRemovals(10_900);
 	expect(getIds(view)).toEqual(['u1', 'u2']);
-	view.dropLapsed(11_000);
+	view.applyDeferredRemovals(11_000);
 	expect(getIds(view)).toEqual(['u2']);
 });
 
@@ -119,7 +119,7 @@
 	expect(getIds(view)).toEqual(['u1']);
 });
 
-test('host records are read, and odd ones ignored', () => {
+test('host records are parsed, and malformed ones ignored', () => {
 	const {view, lines} = createView();
 	const record = {
 		host: 'h1', incarnation: 1, zone: 'a', callers: 'x:1', peers: 'x:2', notes: 'x:3', strength: 1, isStopping: false,
--- a/packages/discovery/src/fleet-view.ts
+++ b/packages/discovery/src/fleet-view.ts
@@ -7,69 +7,73 @@
 } from '@gentianlift/types';
 import {hostPrefix, parseHostRecord, type HostRecord} from './host-record.js';
 
-/** What an entry of the operators or of an upstream says. */
+/** Decoded content of an entry that the operators or an upstream have written. */
 export type FleetItem
 	= | {kind: 'configuration'; configuration: RoutingConfiguration}
 		| {kind: 'upstream'; upstream: Upstream}
 		| {kind: 'unreadable'; reason: string}
 		| {kind: 'other'};
 
-/** What this host believes of configuration, upstreams and hosts, from the key-value service. */
+/** This host's copy of configuration, upstreams and hosts from the key-value service; it may lag behind. */
 export type FleetView = {
-	/** Replaces all entries. */
+	/** Replaces all entries; ones that the snapshot lacks are removed. */
 	applySnapshot: (snapshot: Snapshot, now: Milliseconds) => void;
+	/** Applies changes that lead up to the revision; ones that are older than the known entries are ignored. */
 	applyChanges: (changes: readonly Change[], revision: number, now: Milliseconds) => void;
-	/** Tells that the service could not be reached, or answers again. */
-	applyContact: (isReached: boolean, now: Milliseconds) => void;
-	/** Drops entries that lapsed in an outage and have not come back. */
-	dropLapsed: (now: Milliseconds) => void;
-	/** Revision of the service up to which changes are known; 0 before the first. */
+	/** Records whether the last call to the service was answered. */
+	recordContact: (isReached: boolean, now: Milliseconds) => void;
+	/** Removes the entries whose lease expired in an outage of the service, if their upstreams have not registered again in time. */
+	applyDeferredRemovals: (now: Milliseconds) => void;
+	/** Returns the revision of the service up to which changes are known; 0 before the first. */
 	getRevision: () => number;
-	/** Whether the last call to the service was answered. */
+	/** Returns whether the last call to the service was answered. */
 	isReached: () => boolean;
-	/** Time since the service last answered. */
+	/** Returns the time since the service last answered. */
 	getSilence: (now: Milliseconds) => Milliseconds;
+	/** Returns all known entries, for other hosts. */
 	getSnapshot: () => Snapshot;
+	/** Returns the routes of the current configuration; undefined before the first. */
 	getRoutes: () => RouteTable | undefined;
-	/** Upstreams of a service that take new work. */
+	/** Returns the upstreams of a service that accept new requests. */
 	getUpstreams: (service: string) => Upstream[];
-	/** Tells whether the incarnation is listed and takes new work. */
+	/** Returns whether the incarnation of an upstream is listed and accepts new requests. */
 	isUsable: (key: UpstreamKey) => boolean;
+	/** Returns the records of all listed hosts, this one included. */
 	getHosts: () => HostRecord[];
 };
 
-/** What a view is made of. */
+/** Options of a view. */
 export type FleetViewOptions = {
-	/** Reads an entry that isn't a host record. */
+	/** Decodes an entry that isn't a host record. */
 	decode: (entry: Entry) => FleetItem;
 	logger: Logger;
-	/** Called with the incarnations that are no longer listed. */
+	/** Called with each incarnation of an upstream that is no longer listed. */
 	onRemoved?: (key: UpstreamKey) => void;
 };
 
-/** Time after an outage in which upstreams whose entries lapsed in it may register again. */
-const returnGrace: Milliseconds = 2000;
+/** Time after an outage of the service in which upstreams whose leases expired during it can register again. */
+const reregistrationGrace: Milliseconds = 2000;
 
 /** Creates an empty view. */
 export const createFleetView = ({decode, logger, onRemoved}: FleetViewOptions): FleetView => {
 	const entries = new Map<string, Entry>();
 	const upstreams = new Map<string, Upstream>();
 	const hosts = new Map<HostId, HostRecord>();
-	const lapsed = new Set<string>();
-	let table: RouteTable | undefined;
+	const deferredRemovals = new Set<string>();
+	let routeTable: RouteTable | undefined;
 	let revision = 0;
-	let lastContact = Number.NEGATIVE_INFINITY;
+	let lastContactAt = Number.NEGATIVE_INFINITY;
 	let isReached = true;
-	let returnedAt = Number.NEGATIVE_INFINITY;
+	let regainedAt = Number.NEGATIVE_INFINITY;
 
 	const applyConfiguration = (configuration: RoutingConfiguration): void => {
-		const known = table?.configuration.version;
+		const known = routeTable?.configuration.version;
 		if (known !== undefined && configuration.version <= known) {
 			logger.debug('configuration-ignored', {version: configuration.version, known});
 			return;
 		}
 
-		table = buildRouteTable(configuration);
+		routeTable = buildRouteTable(configuration);
 		logger.info('configuration-applied', {
 			version: configuration.version, previous: known, routes: configuration.routes.length, revision,
 		});
@@ -137,7 +141,7 @@
 
 	const applyEntry = (entry: Entry): void => {
 		const known = entries.get(entry.key);
-		lapsed.delete(entry.key);
+		deferredRemovals.delete(entry.key);
 		if (known !== undefined && known.revision >= entry.revision) {
 			return;
 		}
@@ -150,23 +154,26 @@
 		}
 	};
 
-	const drop = (key: string, reason: string): void => {
-		lapsed.delete(key);
+	const removeNow = (key: string, reason: string): void => {
+		deferredRemovals.delete(key);
 		entries.delete(key);
 		hosts.delete(key);
 		removeUpstream(key, reason);
 	};
 
-	/** An entry that lapsed because the service was away is kept until its upstream had time to register again. */
+	/**
+	 * Removes an entry. Shortly after an outage of the service the removal of an upstream is deferred, as its lease may
+	 * have expired only because the upstream could not renew it.
+	 */
 	const removeEntry = (key: string, now: Milliseconds): void => {
 		const upstream = upstreams.get(key);
-		if (upstream !== undefined && !upstream.isLeaving && now - returnedAt < returnGrace) {
+		if (upstream !== undefined && !upstream.isLeaving && now - regainedAt < reregistrationGrace) {
 			logger.info('upstream-lapsed', {upstream: getUpstreamKey(upstream), revision});
-			lapsed.add(key);
+			deferredRemovals.add(key);
 			return;
 		}
 
-		drop(key, 'removed');
+		removeNow(key, 'removed');
 	};
 
 	return {
@@ -193,32 +200,32 @@
 				}
 			}
 		},
-		applyContact(reached, now) {
+		recordContact(reached, now) {
 			if (reached && !isReached) {
-				returnedAt = now;
+				regainedAt = now;
 			}
 
 			if (reached !== isReached) {
-				logger.warn(reached ? 'store-regained' : 'store-lost', {revision, silence: Math.round(now - lastContact)});
+				logger.warn(reached ? 'store-regained' : 'store-lost', {revision, silence: Math.round(now - lastContactAt)});
 			}
 
 			isReached = reached;
-			lastContact = reached ? now : lastContact;
+			lastContactAt = reached ? now : lastContactAt;
 		},
-		dropLapsed(now) {
-			if (now - returnedAt < returnGrace) {
+		applyDeferredRemovals(now) {
+			if (now - regainedAt < reregistrationGrace) {
 				return;
 			}
 
-			for (const key of lapsed) {
-				drop(key, 'lapsed');
+			for (const key of deferredRemovals) {
+				removeNow(key, 'lapsed');
 			}
 		},
 		getRevision: () => revision,
 		isReached: () => isReached,
-		getSilence: now => now - lastContact,
+		getSilence: now => now - lastContactAt,
 		getSnapshot: () => ({entries: [...entries.values()], revision}),
-		getRoutes: () => table,
+		getRoutes: () => routeTable,
 		getUpstreams: service => [...upstreams.values()].filter(upstream => upstream.service === service && !upstream.isLeaving),
 		isUsable: key => [...upstreams.values()].some(upstream => getUpstreamKey(upstream) === key && !upstream.isLeaving),
 		getHosts: () => [...hosts.values()],
--- a/packages/discovery/src/follow-fleet.test.ts
+++ b/packages/discovery/src/follow-fleet.test.ts
@@ -11,14 +11,15 @@
 
 const unavailable = {kind: 'unavailable', reason: 'test'} as const;
 
-/** A service whose answers a test sets; a watch without a prepared answer goes silent until its limit. */
+/** Answer of a service that holds no entries. */
 const emptyService: SnapshotOutcome = {kind: 'found', snapshot: {entries: [], revision: 1}};
 
-const createFeed = (snapshot: SnapshotOutcome = emptyService) => {
+/** Follows a fake service whose answers the test sets; a watch call without a prepared answer returns no changes after its limit. */
+const createFollower = (snapshot: SnapshotOutcome = emptyService) => {
 	const clock = createManualClock();
 	const view = createFleetView({decode: () => ({kind: 'other'}), logger: createSilentLogger()});
-	const state: {snapshot: SnapshotOutcome; changes: ChangesOutcome[]; peer: Snapshot | undefined; newest: number; reads: number; watches: number; isFed: boolean; told: ChangeBatch[]} = {
-		snapshot, changes: [], peer: undefined, newest: 0, reads: 0, watches: 0, isFed: false, told: [],
+	const state: {snapshot: SnapshotOutcome; changes: ChangesOutcome[]; peer: Snapshot | undefined; newest: number; reads: number; watches: number; hasRelayFeed: boolean; forwarded: ChangeBatch[]} = {
+		snapshot, changes: [], peer: undefined, newest: 0, reads: 0, watches: 0, hasRelayFeed: false, forwarded: [],
 	};
 	const feed: ChangeFeed = {
 		async readAll() {
@@ -36,9 +37,9 @@
 		},
 	};
 	const follower = followFleet({
-		feed, view, clock, logger: createSilentLogger(), askPeer: async () => state.peer, getNewestRevision: () => state.newest, isFed: () => state.isFed,
+		feed, view, clock, logger: createSilentLogger(), fetchFromPeer: async () => state.peer, getNewestRevision: () => state.newest, hasRelayFeed: () => state.hasRelayFeed,
 		onChanges(batch) {
-			state.told.push(batch);
+			state.forwarded.push(batch);
 		},
 	});
 	return {
@@ -48,16 +49,16 @@
 
 const entry = (key: string, revision: number): Entry => ({key, value: '', revision});
 
-test('changes are applied as they come', async () => {
-	const {clock, view, state} = createFeed();
+test('changes are applied as the watch returns them', async () => {
+	const {clock, view, state} = createFollower();
 	state.changes.push({kind: 'changed', changes: [{kind: 'written', entry: entry('a', 2)}], revision: 2});
 	await clock.advance(10);
 	expect(view.getRevision()).toBe(2);
 	expect(view.getSnapshot().entries).toEqual([entry('a', 2)]);
 });
 
-test('a service that turns the host away is asked ever more seldom, and not before refusals', async () => {
-	const {clock, state, follower} = createFeed(unavailable);
+test('calls to a service that refuses them back off, and a refresh makes none', async () => {
+	const {clock, state, follower} = createFollower(unavailable);
 	await clock.advance(5000);
 	expect(state.reads).toBeLessThan(10);
 	const {reads} = state;
@@ -65,36 +66,36 @@
 	expect(state.reads).toBe(reads);
 });
 
-test('a host that another one tells of changes leaves the service alone', async () => {
-	const {clock, state} = createFeed();
+test('a host with a relay feed does not call the service', async () => {
+	const {clock, state} = createFollower();
 	await clock.advance(10);
-	state.isFed = true;
+	state.hasRelayFeed = true;
 	await clock.advance(3000);
 	const {watches} = state;
 	await clock.advance(10_000);
 	expect(state.watches).toBe(watches);
-	state.isFed = false;
+	state.hasRelayFeed = false;
 	await clock.advance(1000);
 	expect(state.watches).toBeGreaterThan(watches);
 });
 
-test('a host that watches hands on what it is told', async () => {
-	const {clock, state} = createFeed();
+test('a host that watches the service passes on the changes', async () => {
+	const {clock, state} = createFollower();
 	state.changes.push({kind: 'changed', changes: [{kind: 'written', entry: entry('a', 2)}], revision: 2});
 	await clock.advance(10);
-	expect(state.told).toEqual([{after: 1, revision: 2, changes: [{kind: 'written', entry: entry('a', 2)}]}]);
+	expect(state.forwarded).toEqual([{after: 1, revision: 2, changes: [{kind: 'written', entry: entry('a', 2)}]}]);
 });
 
-test('lost history makes it read everything again', async () => {
-	const {clock, view, state} = createFeed();
+test('a compacted history makes the follower read all entries again', async () => {
+	const {clock, view, state} = createFollower();
 	state.changes.push({kind: 'compacted'});
 	state.snapshot = {kind: 'found', snapshot: {entries: [entry('a', 8)], revision: 9}};
 	await clock.advance(10);
 	expect(view.getRevision()).toBe(9);
 });
 
-test('a host that the service turns away learns from others', async () => {
-	const {clock, view, state} = createFeed();
+test('a host whose calls the service refuses reads the view of another host', async () => {
+	const {clock, view, state} = createFollower();
 	await clock.advance(10);
 	state.snapshot = unavailable;
 	state.changes.push(unavailable);
@@ -105,8 +106,8 @@
 	expect(view.getRevision()).toBe(5);
 });
 
-test('a watch that went silent is noticed by what others know', async () => {
-	const {clock, view, state} = createFeed();
+test('a stalled watch is detected by the revisions of other hosts', async () => {
+	const {clock, view, state} = createFollower();
 	await clock.advance(10);
 	state.snapshot = {kind: 'found', snapshot: {entries: [entry('a', 5)], revision: 5}};
 	state.newest = 5;
@@ -114,15 +115,15 @@
 	expect(view.getRevision()).toBe(5);
 });
 
-test('a host that starts while the service is away takes what others know', async () => {
-	const {clock, view, state} = createFeed(unavailable);
+test('a host that starts during an outage of the service reads the view of another host', async () => {
+	const {clock, view, state} = createFollower(unavailable);
 	state.peer = {entries: [entry('a', 5)], revision: 5};
 	await clock.advance(400);
 	expect(view.getRevision()).toBe(5);
 });
 
-test('an older answer does not replace a newer state', async () => {
-	const {clock, view, state, follower} = createFeed();
+test('an older snapshot does not replace newer state', async () => {
+	const {clock, view, state, follower} = createFollower();
 	state.changes.push({kind: 'changed', changes: [{kind: 'written', entry: entry('a', 7)}], revision: 7});
 	await clock.advance(10);
 	state.snapshot = {kind: 'found', snapshot: {entries: [], revision: 3}};
@@ -130,7 +131,7 @@
 	expect(view.getSnapshot().entries).toEqual([entry('a', 7)]);
 });
 
-test('a registration is renewed, written again after its lease is lost, and ended', async () => {
+test('a registration is renewed, written again after its lease is lost, and removed at the end', async () => {
 	const clock = createManualClock();
 	const calls: string[] = [];
 	const state = {isLost: false, expected: [] as number[]};
@@ -138,8 +139,8 @@
 		store: {
 			async compareAndSwap({expected}) {
 				state.expected.push(expected);
-				const isRight = expected === 4;
-				return isRight ? {kind: 'applied', revision: 5} : {kind: 'rejected', revision: 4};
+				const isExpected = expected === 4;
+				return isExpected ? {kind: 'applied', revision: 5} : {kind: 'rejected', revision: 4};
 			},
 			async grantLease(expiresIn) {
 				calls.push('grant');
--- a/packages/discovery/src/follow-fleet.ts
+++ b/packages/discovery/src/follow-fleet.ts
@@ -4,46 +4,46 @@
 import type {FleetView} from './fleet-view.js';
 import type {ChangeBatch} from './packet.js';
 
-/** Keeps a view up to date. */
+/** Keeps a view of the fleet up to date. */
 export type FleetFollower = {
-	/** Reads the newest state now, from the key-value service or another host; resolves when that was tried. */
+	/** Reads the newest state now, from the key-value service or else from another host; resolves after the attempt, successful or not. */
 	refresh: () => Promise<void>;
 	stop: () => void;
 };
 
-/** What a follower works with. */
+/** Options of the follower. */
 export type FleetFollowerOptions = {
 	feed: ChangeFeed;
 	view: FleetView;
 	clock: Clock;
 	logger: Logger;
-	/** Asks another host for what changed after the revision; undefined if there is none, or nothing newer. */
-	askPeer: (revision: number) => Promise<Snapshot | undefined>;
-	/** Newest revision that another host tells to know. */
+	/** Reads the view of another host; resolves with undefined if it has nothing newer than the revision or no host answers. */
+	fetchFromPeer: (revision: number) => Promise<Snapshot | undefined>;
+	/** Returns the newest revision that other hosts report. */
 	getNewestRevision: () => number;
-	/** Whether another host tells this one of changes, so that it needn't watch itself. */
-	isFed: () => boolean;
-	/** Called with changes that the service told. */
+	/** Returns whether a relay sends this host all changes, so that it needn't watch the service itself. */
+	hasRelayFeed: () => boolean;
+	/** Called with the changes that the service has returned. */
 	onChanges: (batch: ChangeBatch) => void;
 };
 
-/** Longest wait of one call for changes; bounds how long a watch that went silent hides them. */
-const watchLimit: Milliseconds = 2500;
-/** Pause after a failed call; it doubles with each failure in a row. */
-const shortestPause: Milliseconds = 200;
-const longestPause: Milliseconds = 800;
-/** Interval at which this host's revision is compared with that of others. */
+/** Longest wait of one watch call; it bounds how long changes stay unnoticed when a watch stalls. */
+const watchTimeout: Milliseconds = 2500;
+/** Delay after a failed call; it doubles with each consecutive failure, up to `maxBackoff`. */
+const minBackoff: Milliseconds = 200;
+const maxBackoff: Milliseconds = 800;
+/** Interval at which this host's revision is compared with those that other hosts report. */
 const compareInterval: Milliseconds = 150;
-/** Interval at which a host that another one tells of changes looks whether that goes on. */
-const feedInterval: Milliseconds = 200;
+/** Interval at which a host with a relay feed checks that the feed continues. */
+const feedCheckInterval: Milliseconds = 200;
 
-/** Starts to follow the service, and other hosts while it is out of reach. */
+/** Starts to follow the service, and other hosts while the service is unreachable. */
 export const followFleet = ({
-	feed, view, clock, logger, askPeer, getNewestRevision, isFed, onChanges,
+	feed, view, clock, logger, fetchFromPeer, getNewestRevision, hasRelayFeed, onChanges,
 }: FleetFollowerOptions): FleetFollower => {
 	const state = {isStopped: false};
 	let needsSnapshot = true;
-	let pause = shortestPause;
+	let backoff = minBackoff;
 
 	const applySnapshot = (snapshot: Snapshot): void => {
 		view.applySnapshot(snapshot, clock.monotonic());
@@ -51,7 +51,7 @@
 
 	const readAll = async (): Promise<boolean> => {
 		const outcome = await feed.readAll();
-		view.applyContact(outcome.kind === 'found', clock.monotonic());
+		view.recordContact(outcome.kind === 'found', clock.monotonic());
 		if (outcome.kind === 'unavailable') {
 			logger.debug('store-read-failed', {reason: outcome.reason});
 			return false;
@@ -67,10 +67,10 @@
 
 	const waitForChanges = async (): Promise<boolean> => {
 		const after = view.getRevision();
-		const outcome = await feed.waitForChanges(after, watchLimit);
+		const outcome = await feed.waitForChanges(after, watchTimeout);
 		switch (outcome.kind) {
 			case 'changed': {
-				view.applyContact(true, clock.monotonic());
+				view.recordContact(true, clock.monotonic());
 				view.applyChanges(outcome.changes, outcome.revision, clock.monotonic());
 				onChanges({after, revision: outcome.revision, changes: outcome.changes});
 				return true;
@@ -84,74 +84,75 @@
 
 			case 'unavailable': {
 				logger.debug('store-watch-failed', {reason: outcome.reason});
-				view.applyContact(false, clock.monotonic());
+				view.recordContact(false, clock.monotonic());
 				needsSnapshot = true;
 				return false;
 			}
 		}
 	};
 
-	const run = async (): Promise<void> => {
+	const followStore = async (): Promise<void> => {
 		while (!state.isStopped) {
-			if (!needsSnapshot && isFed()) {
-				// eslint-disable-next-line no-await-in-loop -- A pause between looks.
-				await clock.sleep(feedInterval);
+			if (!needsSnapshot && hasRelayFeed()) {
+				// eslint-disable-next-line no-await-in-loop -- Each check follows a delay.
+				await clock.sleep(feedCheckInterval);
 				continue;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- Each call starts where the one before ended.
+			// eslint-disable-next-line no-await-in-loop -- Each call starts at the revision where the previous one ended.
 			const isAnswered = await (needsSnapshot ? readAll() : waitForChanges());
 			if (isAnswered) {
-				pause = shortestPause;
+				backoff = minBackoff;
 				continue;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- A pause between calls.
-			await clock.sleep(pause);
-			pause = Math.min(longestPause, pause * 2);
+			// eslint-disable-next-line no-await-in-loop -- Calls are separated by the backoff.
+			await clock.sleep(backoff);
+			backoff = Math.min(maxBackoff, backoff * 2);
 		}
 	};
 
 	const readFromPeer = async (): Promise<void> => {
-		const snapshot = await askPeer(view.getRevision());
+		const snapshot = await fetchFromPeer(view.getRevision());
 		if (snapshot !== undefined && snapshot.revision > view.getRevision()) {
 			logger.info('view-from-peer', {revision: snapshot.revision, known: view.getRevision()});
 			applySnapshot(snapshot);
 		}
 	};
 
-	/** Reads what other hosts know already: a watch may have gone silent, or the service turns this host away. */
+	/** Reads the changes that other hosts know already: the watch of this host may have stalled, or the service refuses its calls. */
 	const catchUp = async (): Promise<void> => {
-		const isRead = !isFed() && view.isReached() && await readAll();
+		const isRead = !hasRelayFeed() && view.isReached() && await readAll();
 		if (!isRead) {
 			await readFromPeer();
 		}
 	};
 
-	const comparePeers = async (): Promise<void> => {
+	const compareRevisions = async (): Promise<void> => {
 		let wasBehind = false;
 		while (!state.isStopped) {
-			view.dropLapsed(clock.monotonic());
+			view.applyDeferredRemovals(clock.monotonic());
+			// A host that is behind at one comparison only may just be receiving the changes.
 			const isBehind = getNewestRevision() > view.getRevision();
 			if (isBehind && (wasBehind || !view.isReached())) {
-				// eslint-disable-next-line no-await-in-loop -- One question at a time.
+				// eslint-disable-next-line no-await-in-loop -- One read at a time.
 				await catchUp();
 			} else if (view.getRevision() === 0) {
-				// eslint-disable-next-line no-await-in-loop -- One question at a time.
+				// eslint-disable-next-line no-await-in-loop -- One read at a time.
 				await readFromPeer();
 			}
 
 			wasBehind = isBehind;
-			// eslint-disable-next-line no-await-in-loop -- A pause between comparisons.
+			// eslint-disable-next-line no-await-in-loop -- Comparisons are separated by the interval.
 			await clock.sleep(compareInterval);
 		}
 	};
 
-	void run();
-	void comparePeers();
+	void followStore();
+	void compareRevisions();
 	return {
 		async refresh() {
-			// While the service turns this host away, only other hosts can know more.
+			// While the service refuses the calls of this host, only other hosts can provide newer state.
 			const hasRead = view.isReached() && await readAll();
 			if (!hasRead) {
 				await readFromPeer();
--- a/packages/discovery/src/join-fleet.ts
+++ b/packages/discovery/src/join-fleet.ts
@@ -4,39 +4,39 @@
 import type {
 	Address, ChangeFeed, Entry, HostId, KeyValueService, Zone,
 } from '@gentianlift/types';
-import {exchangeNotes, type NoteExchange} from './exchange-notes.js';
+import {exchangeReports, type NoteExchange} from './exchange-reports.js';
 import {createFleetView, type FleetItem, type FleetView} from './fleet-view.js';
 import {followFleet, type FleetFollower} from './follow-fleet.js';
-import {getOfferedHosts, pickHostsForCaller} from './host-list.js';
+import {getAvailableHosts, selectHostsForCaller} from './host-list.js';
 import type {HostRecord} from './host-record.js';
-import type {LoadBook} from './load-book.js';
-import type {Reading} from './note.js';
-import {createPeerViews} from './peer-views.js';
+import type {Prefill} from './load-report.js';
+import type {LoadBook} from './load-tracker.js';
+import {createPeerViewClient} from './peer-views.js';
 import {registerHost, type HostRegistration} from './register-host.js';
 
-/** The key-value service as a host of the fleet uses it. */
+/** The operations of the key-value service that a host of the fleet uses. */
 export type FleetStore = ChangeFeed & Pick<KeyValueService, 'compareAndSwap' | 'grantLease' | 'renewLease' | 'endLease'>;
 
-/** A host's place in the fleet. */
+/** A host's membership in the fleet. */
 export type Fleet = {
 	view: FleetView;
 	notes: NoteExchange;
 	refresh: FleetFollower['refresh'];
 	registration: HostRegistration;
-	/** Hosts that share limits, this one included. */
+	/** Returns the number of hosts that share limits, this one included. */
 	countHosts: () => number;
-	/** Hosts to send a caller in the availability zone to. */
+	/** Returns the hosts to list for a caller in the availability zone. */
 	getOffered: (zone: Zone | undefined) => HostRecord[];
 };
 
-/** What joining works with. */
+/** Options of joining the fleet. */
 export type FleetOptions = {
-	/** This host, as others are to know it. */
+	/** Record of this host, as published to the others. */
 	record: HostRecord;
-	/** Addresses of other hosts' views to ask before any is known from the service. */
+	/** Addresses from which other hosts' views can be read before any host is known from the service. */
 	knownPeers: readonly Address[];
 	store: FleetStore;
-	/** Reads an entry of the operators or of an upstream. */
+	/** Decodes an entry that the operators or an upstream have written. */
 	decode: (entry: Entry) => FleetItem;
 	clock: Clock;
 	random: Random;
@@ -47,17 +47,17 @@
 	isStopping: () => boolean;
 	/** Called after the load of other hosts has changed. */
 	onLoad: () => void;
-	/** Called with what another host sent an upstream to read. */
-	onReading: (reading: Reading) => void;
-	/** Called with the incarnations that are no longer listed. */
+	/** Called with each prompt that another host has sent to an upstream. */
+	onReading: (prefill: Prefill) => void;
+	/** Called with each incarnation of an upstream that is no longer listed. */
 	onRemoved: (key: UpstreamKey) => void;
 };
 
-type Others = () => HostRecord[];
+type GetOtherHosts = () => HostRecord[];
 
-const openNotes = (options: FleetOptions, view: FleetView, getOthers: Others): NoteExchange => {
+const startReportExchange = (options: FleetOptions, view: FleetView, getOthers: GetOtherHosts): NoteExchange => {
 	const {record} = options;
-	return exchangeNotes({
+	return exchangeReports({
 		own: record,
 		getOthers,
 		clock: options.clock,
@@ -65,53 +65,60 @@
 		loads: options.loads,
 		suspects: options.suspects,
 		getRevision: view.getRevision,
-		isInTouch: () => view.isReached() && view.getRevision() > 0,
+		isStoreReached: () => view.isReached() && view.getRevision() > 0,
 		onLoad: options.onLoad,
-		onReading: options.onReading,
+		onPrefill: options.onReading,
 		onChanges({after, revision, changes}) {
 			const now = options.clock.monotonic();
 			if (after <= view.getRevision() && view.getRevision() > 0) {
-				view.applyContact(true, now);
+				view.recordContact(true, now);
 				view.applyChanges(changes, revision, now);
 			}
 		},
 	});
 };
 
-const createOffer = ({record, random, isStopping}: FleetOptions, notes: NoteExchange, getOthers: Others) => (zone: Zone | undefined): HostRecord[] => {
-	const isHostStopping = (host: HostId): boolean => host === record.host ? isStopping() : notes.isStopping(host);
-	const seen = [record, ...getOthers()].map(other => ({
-		record: other, silence: notes.getSilence(other.host), isStopping: isHostStopping(other.host),
+const createHostSelector = ({record, random, isStopping}: FleetOptions, reportExchange: NoteExchange, getOthers: GetOtherHosts) => (zone: Zone | undefined): HostRecord[] => {
+	const isHostStopping = (host: HostId): boolean => host === record.host ? isStopping() : reportExchange.isStopping(host);
+	const observed = [record, ...getOthers()].map(other => ({
+		record: other, silence: reportExchange.getSilence(other.host), isStopping: isHostStopping(other.host),
 	}));
-	return pickHostsForCaller(getOfferedHosts(seen, record.host), zone, random);
+	return selectHostsForCaller(getAvailableHosts(observed, record.host), zone, random);
 };
 
-/** Registers the host, and starts to follow the fleet and to exchange notes with its hosts. */
+/** Registers the host, and starts to follow the fleet and to exchange load reports with its hosts. */
 export const joinFleet = (options: FleetOptions): Fleet => {
 	const {
 		record, knownPeers, store, clock, random, logger,
 	} = options;
 	const view = createFleetView({decode: options.decode, logger, onRemoved: options.onRemoved});
-	const getOthers: Others = () => view.getHosts().filter(({host}) => host !== record.host);
-	const notes = openNotes(options, view, getOthers);
+	const getOthers: GetOtherHosts = () => view.getHosts().filter(({host}) => host !== record.host);
+	const reportExchange = startReportExchange(options, view, getOthers);
 	const getPeerAddresses = (): Address[] => {
 		const known = new Set([...knownPeers, ...getOthers().map(({peers}) => peers)]);
 		known.delete(record.peers);
 		return [...known];
 	};
 
-	const peerViews = createPeerViews({getAddresses: getPeerAddresses, clock, random});
+	const peerViewClient = createPeerViewClient({getAddresses: getPeerAddresses, clock, random});
 	const {refresh} = followFleet({
-		feed: store, view, clock, logger, askPeer: peerViews.ask, getNewestRevision: notes.getNewestRevision, isFed: notes.isFed, onChanges: notes.addChanges,
+		feed: store,
+		view,
+		clock,
+		logger,
+		fetchFromPeer: peerViewClient.fetchNewer,
+		getNewestRevision: reportExchange.getNewestRevision,
+		hasRelayFeed: reportExchange.isFed,
+		onChanges: reportExchange.addChanges,
 	});
 	return {
 		view,
-		notes,
+		notes: reportExchange,
 		refresh,
 		registration: registerHost({
 			store, record, clock, logger,
 		}),
 		countHosts: () => getOthers().length + 1,
-		getOffered: createOffer(options, notes, getOthers),
+		getOffered: createHostSelector(options, reportExchange, getOthers),
 	};
 };
--- /dev/null
+++ b/packages/discovery/src/load-report.ts
@@ -0,0 +1,82 @@
+import type {Crash, PromptPart, UpstreamKey} from '@gentianlift/routing';
+import type {HostId, Incarnation} from '@gentianlift/types';
+import type {ReportedLoad} from './load-tracker.js';
+
+/** Prompt that a host has sent to an upstream, so that the upstream holds its parts in the prompt cache. */
+export type Prefill = {upstream: UpstreamKey; model: string; parts: readonly PromptPart[]};
+
+/** Periodic report of one host to the others: the load that it causes and what it has observed since its last report. */
+export type LoadReport = {
+	host: HostId;
+	incarnation: Incarnation;
+	sequence: number;
+	/** Revision of the key-value service up to which the host knows all changes. */
+	revision: number;
+	isStopping: boolean;
+	/** Loads that have changed since the last report, or in a full report all that have changed lately. */
+	loads: ReportedLoad[];
+	prefills: Prefill[];
+	crashes: Crash[];
+	/** Fingerprints of requests that were suspected of a crash and have since run to completion. */
+	cleared: string[];
+};
+
+/** Load report in the form in which it is sent: a tuple, which omits the field names. */
+export type PackedLoadReport = [
+	host: HostId,
+	incarnation: Incarnation,
+	sequence: number,
+	revision: number,
+	isStopping: 0 | 1,
+	loads: Array<[upstream: UpstreamKey, running: number, unreadTokens: number, delicate: number, awaitedTokens: number]>,
+	prefills: Array<[upstream: UpstreamKey, model: string, parts: Array<[id: string, tokens: number]>]>,
+	crashes: Array<[fingerprint: string, upstream: UpstreamKey]>,
+	cleared: string[],
+];
+
+/** Converts a report into its wire form. */
+export const packLoadReport = (report: LoadReport): PackedLoadReport => [
+	report.host,
+	report.incarnation,
+	report.sequence,
+	report.revision,
+	report.isStopping ? 1 : 0,
+	report.loads.map(load => [load.upstream, load.running, load.unreadTokens, load.delicate, load.awaitedTokens]),
+	report.prefills.map(({upstream, model, parts}) => [upstream, model, parts.map(({id, tokens}) => [id, tokens])]),
+	report.crashes.map(({fingerprint, upstream}) => [fingerprint, upstream]),
+	report.cleared,
+];
+
+const isPackedLoadReport = (value: unknown): value is PackedLoadReport => {
+	if (!Array.isArray(value)) {
+		return false;
+	}
+
+	const [host, incarnation, sequence, revision, , loads, prefills, crashes, cleared] = value as unknown[];
+	return typeof host === 'string'
+		&& [incarnation, sequence, revision].every(number => typeof number === 'number')
+		&& Array.isArray(cleared)
+		&& [loads, prefills, crashes].every(list => Array.isArray(list) && list.every(item => Array.isArray(item)));
+};
+
+/** Reads a report from its wire form; returns undefined if the value is malformed. */
+export const unpackLoadReport = (value: unknown): LoadReport | undefined => {
+	if (!isPackedLoadReport(value)) {
+		return undefined;
+	}
+
+	const [host, incarnation, sequence, revision, isStopping, loads, prefills, crashes, cleared] = value;
+	return {
+		host,
+		incarnation,
+		sequence,
+		revision,
+		isStopping: isStopping === 1,
+		loads: loads.map(([upstream, running, unreadTokens, delicate, awaitedTokens]) => ({
+			upstream, running, unreadTokens, delicate, awaitedTokens,
+		})),
+		prefills: prefills.map(([upstream, model, parts]) => ({upstream, model, parts: parts.map(([id, tokens]) => ({id, tokens}))})),
+		crashes: crashes.map(([fingerprint, upstream]) => ({fingerprint, upstream})),
+		cleared,
+	};
+};
--- a/packages/discovery/src/packet.ts
+++ b/packages/discovery/src/packet.ts
@@ -1,43 +1,45 @@
 import type {Change, HostId} from '@gentianlift/types';
 import {
-	packNote, unpackNote, type Note, type PackedNote,
-} from './note.js';
+	packLoadReport, unpackLoadReport, type LoadReport, type PackedLoadReport,
+} from './load-report.js';
 
-/** Who a packet's notes are still to be passed on to. */
-export const reach = {nobody: 0, group: 1, fleet: 2} as const;
+/** Hosts to which the recipient of a packet must forward its load reports: none, its own group, or the whole fleet. */
+export const forwardScope = {none: 0, group: 1, fleet: 2} as const;
 
-/** One of `reach`. */
-export type Reach = typeof reach[keyof typeof reach];
+/** Value of `forwardScope`. */
+export type ForwardScope = typeof forwardScope[keyof typeof forwardScope];
 
-/** Changes of the key-value service, for hosts that don't watch it themselves. */
+/** Changes of the key-value service, sent by a relay to hosts that don't watch the service themselves. */
 export type ChangeBatch = {
-	/** Revision that the changes follow on. */
+	/** Revision directly before the first change. */
 	after: number;
 	revision: number;
 	changes: Change[];
 };
 
-/** A datagram between hosts. Losing one costs only freshness. */
+/** Datagram between hosts. Losing one only delays its information, as later ones repeat or supersede it. */
 export type Packet = {
-	/** The host that sent the datagram, which may pass on the notes of others. */
+	/** The host that sent the datagram; as a relay it also forwards reports of other hosts. */
 	sender: HostId;
-	reach: Reach;
-	notes: Note[];
+	/** Hosts to which the recipient must forward the reports. */
+	forwardTo: ForwardScope;
+	reports: LoadReport[];
+	/** Changes of the key-value service, from a relay to its group. */
 	batches: ChangeBatch[];
 };
 
-/** A packet as it is sent: lists in place of records, as most bytes between hosts are notes. */
-type WirePacket = [sender: HostId, reach: Reach, notes: PackedNote[], batches: ChangeBatch[]];
+/** Packet in the form in which it is sent: tuples in place of objects, as load reports make up most of the traffic between hosts. */
+type WirePacket = [sender: HostId, scope: ForwardScope, reports: PackedLoadReport[], batches: ChangeBatch[]];
 
-/** Writes a packet. */
+/** Encodes a packet as the text of a datagram. */
 export const encodePacket = (packet: Packet): string => {
-	const wire: WirePacket = [packet.sender, packet.reach, packet.notes.map(note => packNote(note)), packet.batches];
+	const wire: WirePacket = [packet.sender, packet.forwardTo, packet.reports.map(report => packLoadReport(report)), packet.batches];
 	return JSON.stringify(wire);
 };
 
-const isReach = (value: unknown): value is Reach => Object.values<unknown>(reach).includes(value);
+const isForwardScope = (value: unknown): value is ForwardScope => Object.values<unknown>(forwardScope).includes(value);
 
-const isBatch = (value: unknown): value is ChangeBatch => {
+const isChangeBatch = (value: unknown): value is ChangeBatch => {
 	const {after, revision, changes} = (value ?? {}) as Partial<ChangeBatch>;
 	return typeof after === 'number' && typeof revision === 'number' && Array.isArray(changes);
 };
@@ -50,31 +52,31 @@
 	}
 };
 
-/** Reads a packet; undefined if it isn't one. Notes that can't be read are left out. */
+/** Decodes a packet; returns undefined if it is malformed. Malformed reports and change batches in it are skipped. */
 export const decodePacket = (text: string): Packet | undefined => {
 	const wire = parse(text);
 	if (!Array.isArray(wire)) {
 		return undefined;
 	}
 
-	const [sender, range, notes, batches] = wire as unknown[];
-	if (typeof sender !== 'string' || !isReach(range) || !Array.isArray(notes) || !Array.isArray(batches)) {
+	const [sender, scope, reports, batches] = wire as unknown[];
+	if (typeof sender !== 'string' || !isForwardScope(scope) || !Array.isArray(reports) || !Array.isArray(batches)) {
 		return undefined;
 	}
 
 	return {
 		sender,
-		reach: range,
-		notes: notes.flatMap(note => unpackNote(note) ?? []),
-		batches: batches.filter(batch => isBatch(batch)),
+		forwardTo: scope,
+		reports: reports.flatMap(report => unpackLoadReport(report) ?? []),
+		batches: batches.filter(batch => isChangeBatch(batch)),
 	};
 };
 
-/** Changes in one datagram. */
-const mostChanges = 40;
+/** Highest number of changes in one datagram. */
+const maxChangesPerDatagram = 40;
 
-/** Splits a list into parts of at most `size`. */
-export const splitList = <Item>(items: readonly Item[], size: number): Item[][] =>
+/** Splits a list into chunks of at most `size` items. */
+export const splitIntoChunks = <Item>(items: readonly Item[], size: number): Item[][] =>
 	Array.from({length: Math.ceil(items.length / size)}, (_, index) => items.slice(index * size, (index + 1) * size));
 
 const getChangeRevision = (change: Change | undefined, fallback: number): number => {
@@ -85,9 +87,9 @@
 	return change.kind === 'written' ? change.entry.revision : change.revision;
 };
 
-/** Splits changes into batches that each follow on the one before. */
-export const splitBatch = (batch: ChangeBatch): ChangeBatch[] => {
-	const parts = splitList(batch.changes, mostChanges);
+/** Splits a batch that is too large for one datagram; each part starts at the revision where the previous one ends. */
+export const splitChangeBatch = (batch: ChangeBatch): ChangeBatch[] => {
+	const parts = splitIntoChunks(batch.changes, maxChangesPerDatagram);
 	if (parts.length <= 1) {
 		return [batch];
 	}
--- a/packages/discovery/src/peer-views.ts
+++ b/packages/discovery/src/peer-views.ts
@@ -4,14 +4,14 @@
 import type {Address, Milliseconds, Snapshot} from '@gentianlift/types';
 import type {FleetView} from './fleet-view.js';
 
-/** Asks other hosts for their view of the fleet. */
-export type PeerViews = {
-	/** Gets what one of the other hosts knows beyond the revision; undefined if it knows nothing newer or doesn't answer. */
-	ask: (revision: number) => Promise<Snapshot | undefined>;
+/** Client that reads the view of the fleet from other hosts. */
+export type PeerViewClient = {
+	/** Reads the view of a randomly chosen host; returns undefined if that host knows nothing newer than the revision or doesn't answer. */
+	fetchNewer: (revision: number) => Promise<Snapshot | undefined>;
 };
 
-/** What asking works with. */
-export type PeerViewsOptions = {
+/** Options of the client. */
+export type PeerViewClientOptions = {
 	/** Addresses of other hosts, from the settings and the key-value service. */
 	getAddresses: () => Address[];
 	clock: Clock;
@@ -19,16 +19,17 @@
 };
 
 const viewPath = '/v1/view';
+/** Timeout of a request to another host. */
 const timeout: Milliseconds = 300;
-const notNewer = 204;
+const noContent = 204;
 
 const isSnapshot = (body: unknown): body is Snapshot => {
 	const {entries, revision} = (body ?? {}) as Partial<Snapshot>;
 	return Array.isArray(entries) && typeof revision === 'number';
 };
 
-/** Creates a client of the other hosts' views. */
-export const createPeerViews = ({getAddresses, clock, random}: PeerViewsOptions): PeerViews => {
+/** Creates a client that keeps one connection pool for each other host. */
+export const createPeerViewClient = ({getAddresses, clock, random}: PeerViewClientOptions): PeerViewClient => {
 	const clients = new Map<Address, JsonClient>();
 
 	const getClient = (address: Address): JsonClient => {
@@ -43,7 +44,7 @@
 	};
 
 	return {
-		async ask(revision) {
+		async fetchNewer(revision) {
 			const address = random.pick(getAddresses());
 			if (address === undefined) {
 				return undefined;
@@ -55,12 +56,12 @@
 	};
 };
 
-/** Creates the server that tells other hosts this host's view. */
+/** Creates the server that answers other hosts with this host's view, or with no content if it isn't newer than theirs. */
 export const createViewServer = (view: FleetView): Server => createServer((request, response) => {
 	const {pathname, searchParams} = new URL(request.url ?? '/', 'http://host');
 	const after = Number(searchParams.get('after') ?? 0);
 	if (pathname !== viewPath || view.getRevision() <= after) {
-		response.writeHead(notNewer);
+		response.writeHead(noContent);
 		response.end();
 		return;
 	}
--- a/packages/discovery/src/register-host.ts
+++ b/packages/discovery/src/register-host.ts
@@ -5,13 +5,13 @@
 
 /** Keeps a host's record in the key-value service under a lease. */
 export type HostRegistration = {
-	/** Says that the host is in a graceful shutdown. */
+	/** Marks the record: the host is in a graceful shutdown. */
 	markStopping: () => Promise<void>;
-	/** Removes the record. */
+	/** Ends the lease, which removes the record. */
 	end: () => Promise<void>;
 };
 
-/** What a registration works with. */
+/** Options of the registration. */
 export type HostRegistrationOptions = {
 	store: Pick<KeyValueService, 'compareAndSwap' | 'grantLease' | 'renewLease' | 'endLease'>;
 	record: HostRecord;
@@ -21,9 +21,9 @@
 
 const leaseDuration: Milliseconds = 6000;
 const renewInterval: Milliseconds = 2000;
-const failurePause: Milliseconds = 500;
+const retryDelay: Milliseconds = 500;
 
-/** Starts to register the host; goes on trying until ended. */
+/** Starts to register the host; retries and renews until ended. */
 export const registerHost = ({store, record, clock, logger}: HostRegistrationOptions): HostRegistration => {
 	const key = getHostKey(record.host);
 	let current = record;
@@ -31,8 +31,8 @@
 	let expected = 0;
 	const state = {isEnded: false};
 
-	/** Writes the record over whatever an earlier process of this host left. */
-	const write = async (): Promise<boolean> => {
+	/** Writes the record. If an earlier process of this host has left one, the first attempt is rejected and the second overwrites it. */
+	const writeRecord = async (): Promise<boolean> => {
 		const outcome = await store.compareAndSwap({
 			key, value: JSON.stringify(current), expected, ...(lease !== undefined && {lease}),
 		});
@@ -55,15 +55,16 @@
 		}
 	};
 
-	const acquire = async (): Promise<boolean> => {
+	/** Acquires a lease and writes the record under it. */
+	const register = async (): Promise<boolean> => {
 		const outcome = await store.grantLease(leaseDuration);
 		if (outcome.kind !== 'held') {
 			return false;
 		}
 
 		lease = outcome.lease;
-		// A rejected write names the revision that the next one has to expect.
-		const isWritten = await write() || await write();
+		// A rejected write returns the revision that the next one must expect.
+		const isWritten = await writeRecord() || await writeRecord();
 		lease = isWritten ? lease : undefined;
 		if (isWritten) {
 			logger.info('host-registered', {host: record.host, incarnation: record.incarnation, lease});
@@ -72,7 +73,7 @@
 		return isWritten;
 	};
 
-	const renew = async (held: string): Promise<boolean> => {
+	const renewLease = async (held: string): Promise<boolean> => {
 		const outcome = await store.renewLease(held);
 		if (outcome.kind === 'lost') {
 			logger.warn('lease-lost', {lease: held});
@@ -83,21 +84,21 @@
 		return outcome.kind === 'held';
 	};
 
-	const run = async (): Promise<void> => {
+	const maintainRegistration = async (): Promise<void> => {
 		while (!state.isEnded) {
 			// eslint-disable-next-line no-await-in-loop -- A lease is renewed after it was acquired.
-			const isDone = await (lease === undefined ? acquire() : renew(lease));
-			// eslint-disable-next-line no-await-in-loop -- A pause between calls.
-			await clock.sleep(isDone ? renewInterval : failurePause);
+			const isDone = await (lease === undefined ? register() : renewLease(lease));
+			// eslint-disable-next-line no-await-in-loop -- Calls are separated by the interval.
+			await clock.sleep(isDone ? renewInterval : retryDelay);
 		}
 	};
 
-	void run();
+	void maintainRegistration();
 	return {
 		async markStopping() {
 			current = {...current, isStopping: true};
 			if (lease !== undefined) {
-				await write();
+				await writeRecord();
 			}
 		},
 		async end() {
--- a/packages/discovery/src/relay-plan.ts
+++ b/packages/discovery/src/relay-plan.ts
@@ -2,7 +2,7 @@
 import type {HostId} from '@gentianlift/types';
 import type {HostRecord} from './host-record.js';
 
-/** Where notes go that a host passes on. */
+/** Recipients of the load reports that a host forwards. */
 export type RelayTargets = {
 	/** Other hosts of its group. */
 	members: HostRecord[];
@@ -10,21 +10,21 @@
 	otherRelays: HostRecord[];
 };
 
-/** Where a host's own notes go, and those that it passes on. */
+/** Recipients of a host's own load reports, and of those that it forwards. */
 export type RelayPlan
-	/** To all other hosts, in a small fleet. */
+	/** In a small fleet, a host sends its reports to all other hosts. */
 	= | {kind: 'direct'; members: HostRecord[]}
-		/** It passes on its own notes and those of its group. */
+		/** A relay sends its own reports and those of its group to its group and to the other relays. */
 		| (RelayTargets & {kind: 'relay'})
-		/** To the relay of its group; it passes on what it is asked to all the same. */
+		/** A member sends its reports to the relay of its group; it still forwards reports when a packet asks for it. */
 		| (RelayTargets & {kind: 'member'; relay: HostRecord});
 
-/** Hosts up to which each sends its notes to all others. */
-const mostDirect = 16;
-/** Hosts of an availability zone that share a relay, about. */
-const groupSize = 12;
+/** Largest fleet in which each host sends its reports to all others. */
+const maxDirectHosts = 16;
+/** Approximate number of hosts that share a relay. */
+const targetGroupSize = 12;
 
-const countByZone = (hosts: readonly HostRecord[]): Map<string, number> => {
+const countHostsByZone = (hosts: readonly HostRecord[]): Map<string, number> => {
 	const counts = new Map<string, number>();
 	for (const {zone} of hosts) {
 		counts.set(zone, (counts.get(zone) ?? 0) + 1);
@@ -33,12 +33,12 @@
 	return counts;
 };
 
-/** Groups lie within a zone, as bytes between zones are dear. */
+/** Returns the group of a host. A group lies within one availability zone, as traffic between zones is expensive. */
 const getGroupName = ({host, zone}: HostRecord, zoneSize: number): string =>
-	`${zone}/${getHash(host) % Math.max(1, Math.round(zoneSize / groupSize))}`;
+	`${zone}/${getHash(host) % Math.max(1, Math.round(zoneSize / targetGroupSize))}`;
 
-const groupHosts = (hosts: readonly HostRecord[]): Map<string, HostRecord[]> => {
-	const zoneSizes = countByZone(hosts);
+const groupHostsByRelay = (hosts: readonly HostRecord[]): Map<string, HostRecord[]> => {
+	const zoneSizes = countHostsByZone(hosts);
 	const groups = new Map<string, HostRecord[]>();
 	for (const record of hosts) {
 		const name = getGroupName(record, zoneSizes.get(record.zone) ?? 0);
@@ -48,39 +48,39 @@
 	return groups;
 };
 
-/** The strongest host first; hosts that agree on the group agree on the order. */
-const compareRank = (one: HostRecord, other: HostRecord): number =>
+/** Orders hosts by capacity, highest first, with a hash as tie-break; hosts with the same view of a group agree on the order. */
+const compareRelayPreference = (one: HostRecord, other: HostRecord): number =>
 	other.strength - one.strength || getHash(one.host) - getHash(other.host);
 
-const pickRelay = (group: readonly HostRecord[], isSilent: (host: HostId) => boolean): HostRecord | undefined => {
-	const ranked = group.toSorted(compareRank);
+const chooseRelay = (group: readonly HostRecord[], isSilent: (host: HostId) => boolean): HostRecord | undefined => {
+	const ranked = group.toSorted(compareRelayPreference);
 	return ranked.find(({host}) => !isSilent(host)) ?? ranked[0];
 };
 
 /**
- * Plans which hosts a host sends notes to. In a large fleet a host sends them to the relay of its group, which passes
- * them on to its group and to the other relays: what an ordinary host sends doesn't grow with the fleet.
- * `isSilent` tells the hosts that don't serve as relays for now; hosts may differ on it, as whoever gets a note to pass
- * on does so.
+ * Plans to which hosts a host sends load reports. In a large fleet a host sends them to the relay of its group, which
+ * forwards them to its group and to the other relays, so that the traffic of an ordinary host doesn't grow with the
+ * fleet. `isSilent` returns the hosts that can't serve as relays for now. Hosts may disagree on it, as each recipient
+ * of a report with a scope forwards it, whether or not it considers itself a relay.
  */
 export const planRelays = (own: HostRecord, others: readonly HostRecord[], isSilent: (host: HostId) => boolean): RelayPlan => {
-	if (others.length < mostDirect) {
+	if (others.length < maxDirectHosts) {
 		return {kind: 'direct', members: [...others]};
 	}
 
-	const groups = groupHosts([own, ...others]);
+	const groups = groupHostsByRelay([own, ...others]);
 	const isOwnGroup = (group: readonly HostRecord[]): boolean => group.includes(own);
 	const ownGroup = [...groups.values()].find(group => isOwnGroup(group)) ?? [own];
-	const relay = pickRelay(ownGroup, isSilent);
+	const relay = chooseRelay(ownGroup, isSilent);
 	const targets: RelayTargets = {
 		members: ownGroup.filter(record => record !== own),
-		otherRelays: [...groups.values()].filter(group => !isOwnGroup(group)).flatMap(group => pickRelay(group, isSilent) ?? []),
+		otherRelays: [...groups.values()].filter(group => !isOwnGroup(group)).flatMap(group => chooseRelay(group, isSilent) ?? []),
 	};
 	return relay === undefined || relay === own ? {kind: 'relay', ...targets} : {kind: 'member', relay, ...targets};
 };
 
-/** Gets the hosts that are to pass notes of this one on. */
-export const getRelays = (plan: RelayPlan): HostRecord[] => {
+/** Returns the relays that forward the load reports of this host. */
+export const getForwardingRelays = (plan: RelayPlan): HostRecord[] => {
 	switch (plan.kind) {
 		case 'direct': {
 			return [];
@@ -96,7 +96,7 @@
 	}
 };
 
-/** Gets the relay of this host's group; undefined in a small fleet. */
+/** Returns the relay of this host's group; undefined in a small fleet. */
 export const getOwnRelay = (plan: RelayPlan, own: HostRecord): HostId | undefined => {
 	switch (plan.kind) {
 		case 'direct': {
--- /dev/null
+++ b/packages/discovery/src/report-broadcast.ts
@@ -0,0 +1,216 @@
+import {createSocket} from 'node:dgram';
+import type {Clock} from '@gentianlift/clock';
+import type {Logger} from '@gentianlift/logger';
+import {splitAddress, type HostId, type Milliseconds} from '@gentianlift/types';
+import type {HostRecord} from './host-record.js';
+import type {LoadReport} from './load-report.js';
+import {
+	decodePacket, encodePacket, forwardScope, splitChangeBatch, splitIntoChunks, type ChangeBatch, type ForwardScope, type Packet,
+} from './packet.js';
+import {createRelayLiveness} from './relay-liveness.js';
+import {
+	getForwardingRelays, getOwnRelay, planRelays, type RelayPlan,
+} from './relay-plan.js';
+
+/** Broadcasts load reports to all hosts, through relays in a large fleet. */
+export type ReportBroadcaster = {
+	/** Sends a report of this host to all others. */
+	send: (report: LoadReport) => void;
+	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
+	sendChanges: (batch: ChangeBatch) => void;
+	/** Returns whether a relay currently sends this host the changes of the key-value service. */
+	hasRelayFeed: () => boolean;
+	close: () => void;
+};
+
+/** Options of the broadcaster. */
+export type ReportBroadcasterOptions = {
+	own: HostRecord;
+	getOthers: () => HostRecord[];
+	clock: Clock;
+	logger: Logger;
+	/** Called with each report that another host has sent, forwarded ones included. */
+	onReport: (report: LoadReport) => void;
+	/** Called with the changes of the key-value service that a relay has sent. */
+	onChanges: (batch: ChangeBatch) => void;
+};
+
+/** Time for which a relay collects reports before it forwards them together. */
+const relayBatchDelay: Milliseconds = 20;
+/** Age at which the relay plan is recomputed. */
+const planInterval: Milliseconds = 250;
+/** Age of a relay's last change batch up to which this host relies on the relay, instead of watching the service itself. */
+const relayFeedTimeout: Milliseconds = 1100;
+/** Highest number of reports in one datagram, whose size is limited to 64 KB. */
+const maxReportsPerDatagram = 40;
+
+/** Opens the socket and starts to receive the reports of other hosts. */
+export const startReportBroadcaster = ({
+	own, getOthers, clock, logger, onReport, onChanges,
+}: ReportBroadcasterOptions): ReportBroadcaster => {
+	const socket = createSocket('udp4');
+	const relayLiveness = createRelayLiveness();
+	/** Reports to forward to the own group and to the other relays. */
+	let fleetReports: LoadReport[] = [];
+	/** Reports that came from other relays, to forward to the own group. */
+	let groupReports: LoadReport[] = [];
+	let changeBatches: ChangeBatch[] = [];
+	let isScheduled = false;
+	let lastFeedAt = Number.NEGATIVE_INFINITY;
+	let plan: RelayPlan = {kind: 'direct', members: []};
+	let plannedAt = Number.NEGATIVE_INFINITY;
+	const previousRelay: {host: HostId | undefined} = {host: undefined};
+
+	const updatePlan = (now: Milliseconds): void => {
+		plannedAt = now;
+		plan = planRelays(own, getOthers(), host => relayLiveness.isSilent(host, now));
+		const relays = getForwardingRelays(plan);
+		for (const {host} of relays) {
+			relayLiveness.expectReports(host, now);
+		}
+
+		const relay = getOwnRelay(plan, own);
+		if (relay !== previousRelay.host) {
+			logger.info('relay-chosen', {
+				relay, previous: previousRelay.host, members: plan.members.length, relays: relays.length,
+			});
+			previousRelay.host = relay;
+		}
+	};
+
+	const getPlan = (): RelayPlan => {
+		const now = clock.monotonic();
+		if (now - plannedAt > planInterval) {
+			updatePlan(now);
+		}
+
+		return plan;
+	};
+
+	const sendDatagram = (text: string, targets: readonly HostRecord[]): void => {
+		for (const {notes: address} of targets) {
+			const {host: ip, port} = splitAddress(address);
+			socket.send(text, port, ip, error => {
+				if (error !== null) {
+					logger.debug('note-not-sent', {address, reason: error.message});
+				}
+			});
+		}
+	};
+
+	const sendPacket = (packet: Omit<Packet, 'sender'>, targets: readonly HostRecord[]): void => {
+		if (targets.length > 0) {
+			sendDatagram(encodePacket({sender: own.host, ...packet}), targets);
+		}
+	};
+
+	const sendReports = (reports: readonly LoadReport[], scope: ForwardScope, targets: readonly HostRecord[]): void => {
+		for (const part of splitIntoChunks(reports, maxReportsPerDatagram)) {
+			sendPacket({forwardTo: scope, reports: part, batches: []}, targets);
+		}
+	};
+
+	const flush = (): void => {
+		const current = getPlan();
+		const {members} = current;
+		sendReports(fleetReports, forwardScope.group, current.kind === 'direct' ? [] : current.otherRelays);
+		sendReports([...fleetReports, ...groupReports], forwardScope.none, members);
+		for (const batch of changeBatches) {
+			sendPacket({forwardTo: forwardScope.none, reports: [], batches: [batch]}, members);
+		}
+
+		fleetReports = [];
+		groupReports = [];
+		changeBatches = [];
+	};
+
+	const schedule = (): void => {
+		if (isScheduled) {
+			return;
+		}
+
+		isScheduled = true;
+		clock.after(relayBatchDelay, () => {
+			isScheduled = false;
+			flush();
+		});
+	};
+
+	/** Forwards reports as their packet asks, even if this host doesn't consider itself a relay: hosts may disagree on the plan. */
+	const forwardReports = (reports: readonly LoadReport[], scope: ForwardScope): void => {
+		switch (scope) {
+			case forwardScope.fleet: {
+				fleetReports.push(...reports);
+				schedule();
+				break;
+			}
+
+			case forwardScope.group: {
+				groupReports.push(...reports);
+				schedule();
+				break;
+			}
+
+			case forwardScope.none: {
+				break;
+			}
+		}
+	};
+
+	socket.on('message', bytes => {
+		const packet = decodePacket(bytes.toString('utf8'));
+		if (packet === undefined) {
+			logger.warn('note-unreadable', {length: bytes.length});
+			return;
+		}
+
+		const now = clock.monotonic();
+		relayLiveness.markHeard(packet.sender, now);
+		for (const report of packet.reports) {
+			onReport(report);
+		}
+
+		forwardReports(packet.reports, packet.forwardTo);
+		for (const batch of packet.batches) {
+			lastFeedAt = now;
+			onChanges(batch);
+		}
+	});
+	socket.on('error', error => {
+		logger.warn('note-socket-failed', {reason: error.message});
+	});
+	const {host: ip, port} = splitAddress(own.notes);
+	socket.bind(port, ip);
+
+	return {
+		send(report) {
+			const current = getPlan();
+			switch (current.kind) {
+				case 'direct': {
+					sendReports([report], forwardScope.none, current.members);
+					break;
+				}
+
+				case 'relay': {
+					forwardReports([report], forwardScope.fleet);
+					break;
+				}
+
+				case 'member': {
+					sendReports([report], forwardScope.fleet, [current.relay]);
+					break;
+				}
+			}
+		},
+		sendChanges(batch) {
+			if (getPlan().kind === 'relay') {
+				changeBatches.push(...splitChangeBatch(batch));
+				schedule();
+			}
+		},
+		hasRelayFeed: () => getPlan().kind === 'member' && clock.monotonic() - lastFeedAt < relayFeedTimeout,
+		close() {
+			socket.close();
+		},
+	};
+};
