--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -53,7 +53,7 @@
 	#exchangeAlone(line: Line): void {
 		const message = takeMessage(line, this.#options);
 		this.#options.metrics.count('grants_degraded', {}, message.asks.length);
-		this.#apply(this.#options.getLocalOwner().handleAlone(message));
+		this.#apply(this.#options.getLocalOwner().handleDegraded(message));
 	}
 
 	async #exchange(line: Line, owner: HostId): Promise<void> {
@@ -106,7 +106,7 @@
 		const waiting = [...line.pending.values()].filter(pending => pending.upstream === undefined);
 		const ends = waiting.map(({ticket}) => getWithdrawal(ticket));
 		const message = takeMessage(line, this.#options);
-		this.#options.getLocalOwner().handleAlone({...message, asks: [], ends: [...message.ends, ...ends]});
+		this.#options.getLocalOwner().handleDegraded({...message, asks: [], ends: [...message.ends, ...ends]});
 		line.asks = new Set(waiting);
 		line.mode = 'owner';
 		line.owner = undefined;
--- a/packages/scheduler/src/load.test.ts
+++ b/packages/scheduler/src/load.test.ts
@@ -77,7 +77,7 @@
 	const fleet = createTestFleet(createTestConfiguration([4, 4, 4, 4], 0), ids);
 	const results = await runLoad(fleet, [{...quote, rate: 15}], duration, new Map([['e1', 6]]));
 	const speeds = fleet.hosts[0]!.owner.getOverview()[0]!.upstreams;
-	expect(speeds.find(({upstream}) => upstream === 'e1')!.decode).toBeGreaterThan(30);
+	expect(speeds.find(({upstream}) => upstream === 'e1')!.timePerOutputToken).toBeGreaterThan(30);
 	expect(getAttainment(results, 'quote')).toBeGreaterThan(0.95);
 });
 
--- a/packages/scheduler/src/owner/commands/crash.ts
+++ b/packages/scheduler/src/owner/commands/crash.ts
@@ -1,13 +1,13 @@
 import {applyCrash, applyFinish, getSuspectStanding} from '@gentianlift/policy';
 import type {Milliseconds, TicketEnd, UpstreamId} from '@gentianlift/types';
-import {type Entry, getWaiting, type GroupState} from '../state.js';
+import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
 import {shed} from './entries.js';
 
-/** Reports of a crash within this time are of the same one. */
+/** Reports of an upstream's crash within this time of the first are about the same crash. */
 const crashWindow: Milliseconds = 5000;
 
-/** Records what the end of a run says of crashes: it may report one, or clear its request. */
-export const applyCrashOf = (state: GroupState, entry: Entry, end: TicketEnd): void => {
+/** Records a crash that the end of a run reports; a run that finished clears its request of suspicion. */
+export const applyCrashOutcome = (state: GroupState, entry: Entry, end: TicketEnd): void => {
 	if (entry.state.kind !== 'running') {
 		return;
 	}
@@ -22,7 +22,7 @@
 	}
 };
 
-/** Records a crash of an upstream: every request that ran there is a suspect. */
+/** Records a crash of an upstream: every request that ran there, or failed there just before, becomes a suspect. */
 export const recordCrash = (state: GroupState, id: UpstreamId): void => {
 	const upstream = state.upstreams.get(id);
 	if (upstream === undefined) {
@@ -31,23 +31,23 @@
 
 	const {clock, metrics} = state.context;
 	const now = clock.monotonic();
-	const isSame = upstream.crash !== undefined && now - upstream.crash.at < crashWindow;
-	const counted = isSame ? upstream.crash?.fingerprints ?? new Set<string>() : new Set<string>();
-	const failed = upstream.ended.filter(run => run.failed && now - run.endedAt < crashWindow).map(run => run.fingerprint);
+	const isSameCrash = upstream.lastCrash !== undefined && now - upstream.lastCrash.at < crashWindow;
+	const knownSuspects = isSameCrash ? upstream.lastCrash?.fingerprints ?? new Set<string>() : new Set<string>();
+	const recentlyFailed = upstream.recentRuns.filter(run => run.failed && now - run.endedAt < crashWindow).map(run => run.fingerprint);
 	const running = [...upstream.running].map(entry => entry.ticket.fingerprint);
-	const fresh = [...failed, ...running].filter(fingerprint => !counted.has(fingerprint));
-	state.context.suspects = applyCrash(state.context.suspects, id, fresh, clock.now());
-	upstream.crash = {at: isSame ? upstream.crash?.at ?? now : now, fingerprints: new Set([...counted, ...fresh])};
-	isolateWaiting(state);
-	if (!isSame) {
+	const newSuspects = [...recentlyFailed, ...running].filter(fingerprint => !knownSuspects.has(fingerprint));
+	state.context.suspects = applyCrash(state.context.suspects, id, newSuspects, clock.now());
+	upstream.lastCrash = {at: isSameCrash ? upstream.lastCrash?.at ?? now : now, fingerprints: new Set([...knownSuspects, ...newSuspects])};
+	updateWaitingSuspects(state);
+	if (!isSameCrash) {
 		metrics.count('upstream_crashes');
 	}
 };
 
-/** Lets waiting suspects run alone, and refuses those that were found guilty meanwhile. */
-const isolateWaiting = (state: GroupState): void => {
+/** Isolates waiting requests that are now suspects, and refuses those that now count as the cause of crashes. */
+const updateWaitingSuspects = (state: GroupState): void => {
 	const {suspects, clock} = state.context;
-	for (const entry of getWaiting(state)) {
+	for (const entry of getWaitingEntries(state)) {
 		const standing = getSuspectStanding(suspects, entry.ticket.fingerprint, clock.now());
 		entry.ticket.isolated ||= standing === 'suspected';
 		if (standing === 'guilty') {
--- a/packages/scheduler/src/owner/commands/entries.ts
+++ b/packages/scheduler/src/owner/commands/entries.ts
@@ -4,136 +4,136 @@
 import type {
 	Decision, HostId, ShedReason, Ticket, UpstreamId,
 } from '@gentianlift/types';
-import type {Pick} from '../grant-queue.js';
+import type {Assignment} from '../grant-queue.js';
 import {getPrecedence} from '../queries/precedence.js';
-import {getExpectedService} from '../queries/times.js';
+import {getExpectedServiceTime} from '../queries/forecast.js';
 import {
-	type Entry, getEntryKey, getWaiting, type GroupState, type UpstreamState,
+	type Entry, getEntryKey, getWaitingEntries, type GroupState, type UpstreamState,
 } from '../state.js';
-import {advanceTime} from './time.js';
+import {accountElapsedTime} from './account-time.js';
 
-/** Digests of prefixes kept for each upstream. */
-export const mostPrefixes = 4096;
+/** Maximum number of prefix digests kept for each upstream. */
+export const maxCachedPrefixes = 4096;
 
-/** Where a ticket comes from. */
-export type Origin = {host: HostId; incarnation: number; sequence: number};
+/** Host and message that a ticket came from. */
+export type TicketOrigin = {host: HostId; incarnation: number; sequence: number};
 
-/** Adds a decision to the next message for a host. */
-export const send = (state: GroupState, host: HostId, decision: Decision): void => {
+/** Adds a decision to the next message to a host. */
+export const addDecision = (state: GroupState, host: HostId, decision: Decision): void => {
 	const decisions = state.outbox.get(host) ?? [];
 	decisions.push(decision);
 	state.outbox.set(host, decisions);
 };
 
-/** Adds a waiting entry and puts it into the queue, which grants it as soon as its turn and a slot have come. */
-export const addWaiting = (state: GroupState, ticket: Ticket, origin: Origin): Entry => {
+/** Adds a waiting entry and enqueues it; the queue grants it a slot once it is first in order and a slot is free. */
+export const addWaitingEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): Entry => {
 	const entry = createEntry(state, ticket, origin);
-	advanceTime(state);
+	accountElapsedTime(state);
 	state.entries.set(ticket.request, entry);
 	const controller = new AbortController();
-	entry.finish = () => {
+	entry.endTask = () => {
 		controller.abort('ended');
 	};
 
-	void run(state, entry, controller.signal);
+	void enqueue(state, entry, controller.signal);
 	return entry;
 };
 
-/** Adds an entry that runs already, granted by another owner. */
-export const addRunning = (state: GroupState, ticket: Ticket, origin: Origin, upstream: UpstreamId): Entry => {
+/** Adds an entry that already runs on an upstream, granted by another owner. */
+export const addRunningEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin, upstream: UpstreamId): Entry => {
 	const entry = createEntry(state, ticket, origin);
-	advanceTime(state);
+	accountElapsedTime(state);
 	state.entries.set(ticket.request, entry);
 	setRunning(state, entry, upstream);
 	return entry;
 };
 
-/** Grants a slot to an entry that waits. */
-export const place = (state: GroupState, {entry, upstream}: Pick): void => {
+/** Grants a waiting entry a slot of an upstream. */
+export const grantSlot = (state: GroupState, {entry, upstream}: Assignment): void => {
 	const {ticket} = entry;
-	countOvertaking(state, entry, upstream);
+	countPriorityInversion(state, entry, upstream);
 	setRunning(state, entry, upstream);
-	applyTurn(state.shares, ticket.rank, ticket.customer);
-	applyService(state.shares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: getExpectedService(state, ticket)});
-	keepPrefixes(state.upstreams.get(upstream), ticket.prefix);
-	sendGrant(state, entry);
+	applyTurn(state.fairShares, ticket.rank, ticket.customer);
+	applyService(state.fairShares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: getExpectedServiceTime(state, ticket)});
+	recordCachedPrefixes(state.upstreams.get(upstream), ticket.prefix);
+	addGrant(state, entry);
 	state.context.metrics.count('grants', {rank: String(ticket.rank)});
 };
 
-/** Sends the grant of a running entry, again if the first may be lost. */
-export const sendGrant = (state: GroupState, {host, ticket, state: {...standing}}: Entry): void => {
-	if (standing.kind === 'running') {
-		send(state, host, {
-			kind: 'granted', request: ticket.request, attempt: ticket.attempt, upstream: standing.upstream, priority: ticket.rank,
+/** Adds the grant of a running entry to the next message to its host; called again when the first message may have been lost. */
+export const addGrant = (state: GroupState, {host, ticket, state: {...entryState}}: Entry): void => {
+	if (entryState.kind === 'running') {
+		addDecision(state, host, {
+			kind: 'granted', request: ticket.request, attempt: ticket.attempt, upstream: entryState.upstream, priority: ticket.rank,
 		});
 	}
 };
 
-/** Takes an entry out of the group, and gives its slot back. */
+/** Removes an entry from the group and frees its slot. */
 export const removeEntry = (state: GroupState, entry: Entry): void => {
-	advanceTime(state);
+	accountElapsedTime(state);
 	state.entries.delete(entry.ticket.request);
 	if (entry.state.kind === 'running') {
 		state.upstreams.get(entry.state.upstream)?.running.delete(entry);
 	}
 
-	entry.finish();
+	entry.endTask();
 };
 
-/** Refuses a waiting entry for good. */
+/** Removes a waiting entry and refuses its request. */
 export const shed = (state: GroupState, entry: Entry, reason: ShedReason, retryAfter: number): void => {
 	const {request, attempt, rank} = entry.ticket;
-	if (reason !== 'no-upstream' && reason !== 'crashes-upstreams' && getWaiting(state).some(other => other.ticket.rank > rank)) {
+	if (reason !== 'no-upstream' && reason !== 'crashes-upstreams' && getWaitingEntries(state).some(other => other.ticket.rank > rank)) {
 		state.context.metrics.count('sheds_while_lower_waits', {reason, rank: String(rank)});
 	}
 
 	removeEntry(state, entry);
-	markEnded(state, request, attempt);
-	send(state, entry.host, {
+	recordEndedAttempt(state, request, attempt);
+	addDecision(state, entry.host, {
 		kind: 'shed', request, attempt, reason, retryAfter: Math.ceil(retryAfter),
 	});
 	state.context.metrics.count('sheds', {reason, rank: String(rank)});
 };
 
 /** Records that an attempt has ended, so that late messages about it have no effect. */
-export const markEnded = (state: GroupState, request: string, attempt: number): void => {
-	const known = state.ended.get(request)?.attempt ?? 0;
-	state.ended.delete(request);
-	state.ended.set(request, {attempt: Math.max(known, attempt), at: state.context.clock.monotonic()});
+export const recordEndedAttempt = (state: GroupState, request: string, attempt: number): void => {
+	const known = state.endedAttempts.get(request)?.attempt ?? 0;
+	state.endedAttempts.delete(request);
+	state.endedAttempts.set(request, {attempt: Math.max(known, attempt), at: state.context.clock.monotonic()});
 };
 
-/** Records prefixes that an upstream is taken to hold; the oldest are forgotten. */
-export const keepPrefixes = (upstream: UpstreamState | undefined, prefixes: readonly string[]): void => {
+/** Records prefixes that an upstream's cache is assumed to hold, and drops the least recently used above the maximum. */
+export const recordCachedPrefixes = (upstream: UpstreamState | undefined, prefixes: readonly string[]): void => {
 	if (upstream === undefined) {
 		return;
 	}
 
 	for (const digest of prefixes) {
-		upstream.prefixes.delete(digest);
-		upstream.prefixes.add(digest);
+		upstream.cachedPrefixes.delete(digest);
+		upstream.cachedPrefixes.add(digest);
 	}
 
-	for (const digest of upstream.prefixes) {
-		if (upstream.prefixes.size <= mostPrefixes) {
+	for (const digest of upstream.cachedPrefixes) {
+		if (upstream.cachedPrefixes.size <= maxCachedPrefixes) {
 			return;
 		}
 
-		upstream.prefixes.delete(digest);
+		upstream.cachedPrefixes.delete(digest);
 	}
 };
 
-/** Counts grants to an entry while a higher rank waits that could run there; only floors may do that. */
-const countOvertaking = (state: GroupState, {ticket}: Entry, id: UpstreamId): void => {
+/** Counts a grant to an entry while one of a higher rank waits that could run on the same upstream; only a floor may cause that. */
+const countPriorityInversion = (state: GroupState, {ticket}: Entry, id: UpstreamId): void => {
 	const upstream = state.upstreams.get(id)?.upstream;
-	const isOvertaken = ({ticket: other}: Entry): boolean =>
+	const isPassedOver = ({ticket: other}: Entry): boolean =>
 		other.rank < ticket.rank && !other.isolated && !other.avoid.includes(id) && upstream !== undefined && hasNeeds(upstream, other.needs);
-	if (getWaiting(state).some(other => isOvertaken(other))) {
-		const isFloor = getPrecedence(state, []).floorsDue.includes(ticket.rank);
-		state.context.metrics.count('grants_past_higher', {by: isFloor ? 'floor' : 'other'});
+	if (getWaitingEntries(state).some(other => isPassedOver(other))) {
+		const isFloorDue = getPrecedence(state, []).floorsDue.includes(ticket.rank);
+		state.context.metrics.count('grants_past_higher', {by: isFloorDue ? 'floor' : 'other'});
 	}
 };
 
-const createEntry = (state: GroupState, ticket: Ticket, origin: Origin): Entry => {
+const createEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): Entry => {
 	const {clock, suspects} = state.context;
 	const now = clock.monotonic();
 	const isSuspected = getSuspectStanding(suspects, ticket.fingerprint, clock.now()) !== 'clear';
@@ -142,34 +142,34 @@
 		ticket: {...ticket, isolated: ticket.isolated || isSuspected},
 		host: origin.host,
 		incarnation: origin.incarnation,
-		askedIn: origin.sequence,
+		askSequence: origin.sequence,
 		refreshedAt: now,
 		deadline: now + ticket.slack,
 		since: now - ticket.waited,
 		sequence: state.nextSequence++,
 		state: {kind: 'waiting'},
-		finish() {
-			// Nothing to end for an entry that never was in the queue.
+		endTask() {
+			// An entry that never was in the queue has no task.
 		},
 	};
 };
 
 const setRunning = (state: GroupState, entry: Entry, upstream: UpstreamId): void => {
 	entry.state = {
-		kind: 'running', upstream, startedAt: state.context.clock.monotonic(), expected: getExpectedService(state, entry.ticket), yielding: false,
+		kind: 'running', upstream, startedAt: state.context.clock.monotonic(), expectedDuration: getExpectedServiceTime(state, entry.ticket), yielding: false,
 	};
 	state.upstreams.get(upstream)?.running.add(entry);
 };
 
-const run = async (state: GroupState, entry: Entry, signal: AbortSignal): Promise<void> => {
+const enqueue = async (state: GroupState, entry: Entry, signal: AbortSignal): Promise<void> => {
 	try {
-		await state.queue.add(async () => waitForEnd(signal), {entry, id: entry.key, signal});
+		await state.queue.add(async () => waitForAbort(signal), {entry, id: entry.key, signal});
 	} catch {
 		// P-queue rejects with the signal's reason once the entry has ended.
 	}
 };
 
-const waitForEnd = async (signal: AbortSignal): Promise<void> => new Promise(resolve => {
+const waitForAbort = async (signal: AbortSignal): Promise<void> => new Promise(resolve => {
 	signal.addEventListener('abort', () => {
 		resolve();
 	}, {once: true});
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -4,49 +4,49 @@
 } from '@gentianlift/types';
 import {type Entry, type GroupState} from '../state.js';
 import {
-	addRunning, addWaiting, markEnded, type Origin, removeEntry, send, sendGrant,
+	addRunningEntry, addWaitingEntry, recordEndedAttempt, type TicketOrigin, removeEntry, addDecision, addGrant,
 } from './entries.js';
-import {applyCrashOf} from './crash.js';
-import {learn} from './learn.js';
+import {applyCrashOutcome} from './crash.js';
+import {updateEstimates} from './update-estimates.js';
 
-/** Applies a batch of a host; returns held requests whose tickets aren't known. */
+/** Applies a batch of a host, and returns the held requests whose tickets are unknown. */
 export const applyMessage = (state: GroupState, message: GrantRequest): RequestId[] => {
-	const origin: Origin = {host: message.host, incarnation: message.incarnation, sequence: message.sequence};
-	const isNewest = applySequence(state, origin);
+	const origin: TicketOrigin = {host: message.host, incarnation: message.incarnation, sequence: message.sequence};
+	const isNewest = recordSequence(state, origin);
 	for (const end of message.ends) {
 		applyEnd(state, end);
 	}
 
-	// What runs already takes its slots before new tickets can be granted them.
-	const unknown = message.held !== undefined && isNewest ? applyHeld(state, message.held, origin) : [];
+	// Held tickets come first, so that requests that already run occupy their slots before new tickets are granted any.
+	const unknownRequests = message.held !== undefined && isNewest ? reconcileHeldTickets(state, message.held, origin) : [];
 	for (const ticket of message.asks) {
 		applyAsk(state, ticket, origin);
 	}
 
-	return unknown.filter(request => !message.asks.some(ticket => ticket.request === request));
+	return unknownRequests.filter(request => !message.asks.some(ticket => ticket.request === request));
 };
 
-const applySequence = (state: GroupState, {host, incarnation, sequence}: Origin): boolean => {
-	const known = state.sequences.get(host);
+const recordSequence = (state: GroupState, {host, incarnation, sequence}: TicketOrigin): boolean => {
+	const known = state.latestSequences.get(host);
 	const isNewest = known === undefined || incarnation > known.incarnation || (incarnation === known.incarnation && sequence > known.sequence);
 	if (isNewest) {
-		state.sequences.set(host, {incarnation, sequence});
+		state.latestSequences.set(host, {incarnation, sequence});
 	}
 
 	return isNewest;
 };
 
-/** Applies an ask; a repeated one gets the decision again, a late one has no effect. */
-const applyAsk = (state: GroupState, ticket: Ticket, origin: Origin): void => {
-	const ended = state.ended.get(ticket.request)?.attempt ?? 0;
-	if (ticket.attempt <= ended) {
+/** Adds a ticket that asks for a slot. A repeated one gets its grant again; one of an attempt that has ended has no effect. */
+const applyAsk = (state: GroupState, ticket: Ticket, origin: TicketOrigin): void => {
+	const lastEndedAttempt = state.endedAttempts.get(ticket.request)?.attempt ?? 0;
+	if (ticket.attempt <= lastEndedAttempt) {
 		return;
 	}
 
 	const known = state.entries.get(ticket.request);
 	if (known !== undefined && known.ticket.attempt >= ticket.attempt) {
-		refresh(state, known);
-		sendGrant(state, known);
+		refreshEntry(state, known);
+		addGrant(state, known);
 		return;
 	}
 
@@ -56,58 +56,58 @@
 
 	const {suspects, clock} = state.context;
 	if (getSuspectStanding(suspects, ticket.fingerprint, clock.now()) === 'guilty') {
-		refuseGuilty(state, ticket, origin);
+		refuseCrashingTicket(state, ticket, origin);
 		return;
 	}
 
-	addWaiting(state, ticket, origin);
+	addWaitingEntry(state, ticket, origin);
 };
 
-const refuseGuilty = (state: GroupState, {request, attempt, rank}: Ticket, {host}: Origin): void => {
+const refuseCrashingTicket = (state: GroupState, {request, attempt, rank}: Ticket, {host}: TicketOrigin): void => {
 	const reason = 'crashes-upstreams';
-	markEnded(state, request, attempt);
-	send(state, host, {
+	recordEndedAttempt(state, request, attempt);
+	addDecision(state, host, {
 		kind: 'shed', request, attempt, reason, retryAfter: 0,
 	});
 	state.context.metrics.count('sheds', {reason, rank: String(rank)});
 };
 
 const applyEnd = (state: GroupState, end: TicketEnd): void => {
-	markEnded(state, end.request, end.attempt);
+	recordEndedAttempt(state, end.request, end.attempt);
 	const entry = state.entries.get(end.request);
 	if (entry === undefined || entry.ticket.attempt > end.attempt) {
 		return;
 	}
 
-	learn(state, entry, end);
-	applyCrashOf(state, entry, end);
+	updateEstimates(state, entry, end);
+	applyCrashOutcome(state, entry, end);
 	removeEntry(state, entry);
 };
 
-/** Heals what lost messages left behind: forgets what the host no longer holds, and takes in what isn't known. */
-const applyHeld = (state: GroupState, held: readonly HeldTicket[], origin: Origin): RequestId[] => {
+/** Repairs the effects of lost messages: removes the entries that the host no longer holds, and adds those that are unknown. */
+const reconcileHeldTickets = (state: GroupState, held: readonly HeldTicket[], origin: TicketOrigin): RequestId[] => {
 	const byRequest = new Map(held.map(item => [item.request, item]));
 	for (const entry of state.entries.values()) {
-		const isGone = byRequest.get(entry.ticket.request)?.attempt !== entry.ticket.attempt;
-		const isEarlier = entry.incarnation < origin.incarnation || entry.askedIn < origin.sequence;
-		if (entry.host === origin.host && isGone && isEarlier) {
+		const isNoLongerHeld = byRequest.get(entry.ticket.request)?.attempt !== entry.ticket.attempt;
+		const isOlderThanMessage = entry.incarnation < origin.incarnation || entry.askSequence < origin.sequence;
+		if (entry.host === origin.host && isNoLongerHeld && isOlderThanMessage) {
 			removeEntry(state, entry);
 		}
 	}
 
 	const running = held.filter(({upstream}) => upstream !== undefined);
 	const waiting = held.filter(({upstream}) => upstream === undefined);
-	return [...running, ...waiting].filter(item => !applyHeldTicket(state, item, origin)).map(({request}) => request);
+	return [...running, ...waiting].filter(item => !reconcileHeldTicket(state, item, origin)).map(({request}) => request);
 };
 
-const applyHeldTicket = (state: GroupState, {request, attempt, upstream, ticket}: HeldTicket, origin: Origin): boolean => {
+const reconcileHeldTicket = (state: GroupState, {request, attempt, upstream, ticket}: HeldTicket, origin: TicketOrigin): boolean => {
 	const known = state.entries.get(request);
 	if (known?.ticket.attempt === attempt) {
-		refresh(state, known);
-		return known.state.kind === 'waiting' && upstream !== undefined ? applyElsewhere(state, known, origin, upstream) : resend(state, known, upstream);
+		refreshEntry(state, known);
+		return known.state.kind === 'waiting' && upstream !== undefined ? replaceWithRunning(state, known, origin, upstream) : repeatGrant(state, known, upstream);
 	}
 
-	if (attempt <= (state.ended.get(request)?.attempt ?? 0)) {
+	if (attempt <= (state.endedAttempts.get(request)?.attempt ?? 0)) {
 		return true;
 	}
 
@@ -118,28 +118,28 @@
 	if (upstream === undefined) {
 		applyAsk(state, ticket, origin);
 	} else {
-		addRunning(state, ticket, origin, upstream);
+		addRunningEntry(state, ticket, origin, upstream);
 	}
 
 	return true;
 };
 
-/** Takes in that a waiting entry runs, granted by another owner. */
-const applyElsewhere = (state: GroupState, known: Entry, origin: Origin, upstream: string): true => {
+/** Replaces a waiting entry by a running one, since another owner granted it. */
+const replaceWithRunning = (state: GroupState, known: Entry, origin: TicketOrigin, upstream: string): true => {
 	removeEntry(state, known);
-	addRunning(state, known.ticket, origin, upstream);
+	addRunningEntry(state, known.ticket, origin, upstream);
 	return true;
 };
 
-/** Repeats a grant that didn't reach its host. */
-const resend = (state: GroupState, known: Entry, upstream: string | undefined): true => {
+/** Sends the grant again if the host still reports the request as waiting, which means that the first message was lost. */
+const repeatGrant = (state: GroupState, known: Entry, upstream: string | undefined): true => {
 	if (upstream === undefined) {
-		sendGrant(state, known);
+		addGrant(state, known);
 	}
 
 	return true;
 };
 
-const refresh = (state: GroupState, entry: Entry): void => {
+const refreshEntry = (state: GroupState, entry: Entry): void => {
 	entry.refreshedAt = state.context.clock.monotonic();
 };
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -6,24 +6,24 @@
 } from '@gentianlift/types';
 import {countMessage} from '../count-message.js';
 import {recordCrash} from './commands/crash.js';
-import {send} from './commands/entries.js';
+import {addDecision} from './commands/entries.js';
 import {applyMessage} from './commands/messages.js';
-import {kick, review, reviewSoon} from './commands/review.js';
-import {createGroup, updateGroup} from './create-group.js';
-import {getInOrder, getWaits} from './queries/waits.js';
+import {grantFreeSlots, runPass, runPassIfDue} from './commands/run-pass.js';
+import {createGroupState, updateGroupState} from './create-group-state.js';
+import {getGrantOrder, getExpectedWaits} from './queries/grant-order.js';
 import {getGroupOverview, type GroupOverview} from './queries/overview.js';
 import type {
 	GroupState, Mechanism, OwnerContext, Standing, UpstreamState,
 } from './state.js';
-import {createUpstreamNews, type UpstreamNews} from './upstream-news.js';
+import {createUpstreamRegistry, type UpstreamRegistry} from './upstream-registry.js';
 
-/** Interval at which an owner looks through its groups. */
-export const reviewInterval: Milliseconds = 100;
+/** Interval between the scheduling passes of an owner over its groups. */
+export const passInterval: Milliseconds = 100;
 
-/** Part of its time that a request's expected wait must take for its host to be told. */
-const toldWait = 0.5;
+/** Fraction of a request's slack above which its expected wait is reported to the host. */
+const reportedWaitFraction = 0.5;
 
-/** What an owner of groups needs. */
+/** Options of an owner of groups. */
 export type GroupOwnerOptions = {
 	clock: Clock;
 	random: Random;
@@ -31,29 +31,32 @@
 	self: HostId;
 	/** Live hosts, this one included. */
 	getHosts: () => ReadonlyArray<{host: HostId; zone: Zone}>;
-	/** Host that owns a group by this host's view. */
+	/** Returns the host that owns a group in this host's view. */
 	getOwnerOf: (group: GroupId) => HostId | undefined;
 	/** Sends decisions to a host, this one included. */
 	push: (host: HostId, answer: GrantAnswer) => void;
 	without?: readonly Mechanism[];
 };
 
-/** Orders the work of the groups that this host owns, and on its own share of slots that of groups whose owner can't be reached. */
+/**
+ * Grants upstream slots to the requests for the groups that this host owns.
+ * For a group whose owner can't be reached, it grants this host's own requests an even share of the slots.
+ */
 export type GroupOwner = {
-	/** Answers a batch of a host. */
+	/** Handles a batch of a host. */
 	handle: (from: HostId, message: GrantRequest) => GrantAnswer;
-	/** Answers this host's own batch for a group whose owner can't be reached. */
-	handleAlone: (message: GrantRequest) => GrantAnswer;
+	/** Handles this host's own batch for a group whose owner can't be reached. */
+	handleDegraded: (message: GrantRequest) => GrantAnswer;
 	applyConfiguration: (version: ConfigurationVersion) => void;
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
 	applySighting: (sighting: UpstreamSighting) => void;
 	applyStanding: (upstream: UpstreamId, standing: Standing) => void;
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
-	/** Requests suspected of crashing upstreams, by fingerprint. */
+	/** Returns the requests suspected of crashing upstreams, by fingerprint. */
 	getSuspects: () => Suspects;
-	/** Takes in suspects that other hosts found. */
+	/** Merges in the suspects that other hosts found. */
 	applySuspects: (suspects: Suspects) => void;
-	/** Groups that this host orders now. */
+	/** Returns the overviews of the groups that this host owns and has state of. */
 	getOverview: () => GroupOverview[];
 	stop: () => void;
 };
@@ -64,11 +67,11 @@
 class LocalOwner implements GroupOwner {
 	readonly #options: GroupOwnerOptions;
 	readonly #context: OwnerContext;
-	readonly #news: UpstreamNews;
+	readonly #registry: UpstreamRegistry;
 	readonly #cancel: Cancel;
 	readonly #owned = new Map<GroupId, GroupState>();
-	/** Groups whose owner can't be reached, on this host's share of their slots. */
-	readonly #alone = new Map<GroupId, GroupState>();
+	/** Groups whose owner can't be reached, limited to this host's fraction of their slots. */
+	readonly #degraded = new Map<GroupId, GroupState>();
 	#groups = new Map<GroupId, Group>();
 
 	constructor(options: GroupOwnerOptions) {
@@ -84,46 +87,46 @@
 			},
 		};
 		this.#context = createContext(options);
-		this.#news = createUpstreamNews(options.clock);
-		this.#cancel = every(reviewInterval, () => {
-			this.#reviewAll();
+		this.#registry = createUpstreamRegistry(options.clock);
+		this.#cancel = every(passInterval, () => {
+			this.#runPasses();
 		});
 	}
 
 	readonly handle = (from: HostId, message: GrantRequest): GrantAnswer => {
 		const {group} = message;
 		const state = this.#isOwned(group) ? this.#getState(this.#owned, group, 1) : undefined;
-		return state === undefined ? {owner: false, group, decisions: []} : answer(state, from, message, this.#options.push);
+		return state === undefined ? {owner: false, group, decisions: []} : handleMessage(state, from, message, this.#options.push);
 	};
 
-	readonly handleAlone = (message: GrantRequest): GrantAnswer => {
+	readonly handleDegraded = (message: GrantRequest): GrantAnswer => {
 		const {group} = message;
-		const share = 1 / Math.max(1, this.#options.getHosts().length);
-		const state = this.#getState(this.#alone, group, share);
-		return state === undefined ? {owner: false, group, decisions: []} : answer(state, this.#options.self, message, this.#options.push);
+		const slotFraction = 1 / Math.max(1, this.#options.getHosts().length);
+		const state = this.#getState(this.#degraded, group, slotFraction);
+		return state === undefined ? {owner: false, group, decisions: []} : handleMessage(state, this.#options.self, message, this.#options.push);
 	};
 
 	readonly applyConfiguration = ({configuration}: ConfigurationVersion): void => {
 		this.#context.tiers = configuration.rules.tiers;
 		this.#groups = new Map(getGroups(configuration).map(group => [group.id, group]));
-		for (const state of this.#getAll()) {
-			updateGroup(state, this.#groups.get(state.group.id));
-			this.#fill(state);
+		for (const state of this.#getStates()) {
+			updateGroupState(state, this.#groups.get(state.group.id));
+			this.#restoreUpstreams(state);
 		}
 	};
 
 	readonly applyLoadReport = (upstream: UpstreamId, report: LoadReport): void => {
-		this.#news.applyLoadReport(upstream, report, this.#getUpstreams(upstream));
-		this.#grant();
+		this.#registry.applyLoadReport(upstream, report, this.#getUpstreamStates(upstream));
+		this.#grantFreeSlots();
 	};
 
 	readonly applyStanding = (upstream: UpstreamId, standing: Standing): void => {
-		this.#news.applyStanding(upstream, standing, this.#getUpstreams(upstream));
-		this.#grant();
+		this.#registry.applyStanding(upstream, standing, this.#getUpstreamStates(upstream));
+		this.#grantFreeSlots();
 	};
 
 	readonly applyCacheEvents = (upstream: UpstreamId, events: readonly CacheEvent[]): void => {
-		this.#news.applyCacheEvents(events, this.#getUpstreams(upstream));
+		this.#registry.applyCacheEvents(events, this.#getUpstreamStates(upstream));
 	};
 
 	readonly applySighting = ({upstream, kind}: UpstreamSighting): void => {
@@ -131,7 +134,7 @@
 			this.applyStanding(upstream, 'leaving');
 		}
 
-		for (const state of kind === 'crashed' ? this.#getAll() : []) {
+		for (const state of kind === 'crashed' ? this.#getStates() : []) {
 			recordCrash(state, upstream);
 		}
 	};
@@ -152,46 +155,46 @@
 		return this.#options.getOwnerOf(group) === this.#options.self;
 	}
 
-	#getState(states: Map<GroupId, GroupState>, id: GroupId, share: number): GroupState | undefined {
+	#getState(states: Map<GroupId, GroupState>, id: GroupId, slotFraction: number): GroupState | undefined {
 		const group = this.#groups.get(id);
 		const known = states.get(id);
 		if (known !== undefined || group === undefined) {
 			return known;
 		}
 
-		const state = createGroup(this.#context, group, share);
-		this.#fill(state);
+		const state = createGroupState(this.#context, group, slotFraction);
+		this.#restoreUpstreams(state);
 		states.set(id, state);
 		return state;
 	}
 
-	#fill(state: GroupState): void {
+	#restoreUpstreams(state: GroupState): void {
 		for (const upstream of state.upstreams.values()) {
-			this.#news.fill(upstream);
+			this.#registry.restore(upstream);
 		}
 	}
 
-	#getAll(): GroupState[] {
-		return [...this.#owned.values(), ...this.#alone.values()];
+	#getStates(): GroupState[] {
+		return [...this.#owned.values(), ...this.#degraded.values()];
 	}
 
-	#getUpstreams(id: UpstreamId): UpstreamState[] {
-		return this.#getAll().flatMap(state => state.upstreams.get(id) ?? []);
+	#getUpstreamStates(id: UpstreamId): UpstreamState[] {
+		return this.#getStates().flatMap(state => state.upstreams.get(id) ?? []);
 	}
 
-	#grant(): void {
-		for (const state of this.#getAll()) {
-			kick(state);
-			flush(state, this.#options.push);
+	#grantFreeSlots(): void {
+		for (const state of this.#getStates()) {
+			grantFreeSlots(state);
+			flushOutbox(state, this.#options.push);
 		}
 	}
 
-	#reviewAll(): void {
-		drop(this.#owned, id => this.#isOwned(id) && this.#groups.has(id));
-		drop(this.#alone, id => (this.#alone.get(id)?.entries.size ?? 0) > 0 && this.#groups.has(id));
-		for (const state of this.#getAll()) {
-			review(state);
-			flush(state, this.#options.push);
+	#runPasses(): void {
+		dropGroups(this.#owned, id => this.#isOwned(id) && this.#groups.has(id));
+		dropGroups(this.#degraded, id => (this.#degraded.get(id)?.entries.size ?? 0) > 0 && this.#groups.has(id));
+		for (const state of this.#getStates()) {
+			runPass(state);
+			flushOutbox(state, this.#options.push);
 		}
 	}
 }
@@ -200,43 +203,43 @@
 	clock,
 	random,
 	metrics,
-	zoneOf: host => getHosts().find(item => item.host === host)?.zone,
-	without: new Set(without),
+	getZone: host => getHosts().find(item => item.host === host)?.zone,
+	disabledMechanisms: new Set(without),
 	tiers: [],
 	suspects: new Map(),
 });
 
-const answer = (state: GroupState, from: HostId, message: GrantRequest, push: GroupOwnerOptions['push']): GrantAnswer => {
+const handleMessage = (state: GroupState, from: HostId, message: GrantRequest, push: GroupOwnerOptions['push']): GrantAnswer => {
 	const wanted = applyMessage(state, message);
-	reviewSoon(state);
-	sendWaits(state, from, message);
+	runPassIfDue(state);
+	addExpectedWaits(state, from, message);
 	const decisions = state.outbox.get(from) ?? [];
 	state.outbox.delete(from);
-	flush(state, push);
+	flushOutbox(state, push);
 	const reply: GrantAnswer = {owner: true, group: state.group.id, decisions};
 	return wanted.length === 0 ? reply : {...reply, wanted};
 };
 
-/** Tells the host the expected wait of each ask that may not be granted in time. */
-const sendWaits = (state: GroupState, from: HostId, {asks}: GrantRequest): void => {
+/** Adds the expected wait of each new ticket that may not be granted in time to the host's next message. */
+const addExpectedWaits = (state: GroupState, from: HostId, {asks}: GrantRequest): void => {
 	const waiting = asks.flatMap(({request}) => state.entries.get(request) ?? []).filter(entry => entry.state.kind === 'waiting');
 	if (waiting.length === 0) {
 		return;
 	}
 
-	const waits = getWaits(state, getInOrder(state));
+	const waits = getExpectedWaits(state, getGrantOrder(state));
 	for (const entry of waiting) {
 		const {request, attempt, slack} = entry.ticket;
 		const expectedWait = Math.ceil(waits.get(entry) ?? 0);
-		if (expectedWait > slack * toldWait) {
-			send(state, from, {
+		if (expectedWait > slack * reportedWaitFraction) {
+			addDecision(state, from, {
 				kind: 'waiting', request, attempt, expectedWait,
 			});
 		}
 	}
 };
 
-const flush = (state: GroupState, push: GroupOwnerOptions['push']): void => {
+const flushOutbox = (state: GroupState, push: GroupOwnerOptions['push']): void => {
 	const messages = [...state.outbox];
 	state.outbox.clear();
 	for (const [host, decisions] of messages) {
@@ -246,23 +249,23 @@
 	}
 };
 
-const drop = (states: Map<GroupId, GroupState>, isKept: (id: GroupId) => boolean): void => {
+const dropGroups = (states: Map<GroupId, GroupState>, isKept: (id: GroupId) => boolean): void => {
 	for (const [id, state] of states) {
 		if (!isKept(id)) {
 			states.delete(id);
 			for (const entry of state.entries.values()) {
-				entry.finish();
+				entry.endTask();
 			}
 		}
 	}
 };
 
-const mergeSuspects = (known: Suspects, others: Suspects): Suspects => {
+const mergeSuspects = (known: Suspects, incoming: Suspects): Suspects => {
 	const merged = new Map(known);
-	for (const [fingerprint, other] of others) {
-		const mine = known.get(fingerprint);
-		if (mine === undefined || mine.crashes.length < other.crashes.length) {
-			merged.set(fingerprint, other);
+	for (const [fingerprint, received] of incoming) {
+		const existing = known.get(fingerprint);
+		if (existing === undefined || existing.crashes.length < received.crashes.length) {
+			merged.set(fingerprint, received);
 		}
 	}
 
--- a/packages/scheduler/src/owner/grant-queue.ts
+++ b/packages/scheduler/src/owner/grant-queue.ts
@@ -2,69 +2,69 @@
 import type {UpstreamId} from '@gentianlift/types';
 import type {Entry} from './state.js';
 
-type Run = () => Promise<unknown>;
+type Task = () => Promise<unknown>;
 
-/** Options of a run in a group's queue. */
+/** Options of a task in a group's queue. */
 export type GrantQueueOptions = QueueAddOptions & {entry?: Entry};
 
-/** The entry to run next and where. */
-export type Pick = {entry: Entry; upstream: UpstreamId};
+/** An entry and the upstream that is chosen for it. */
+export type Assignment = {entry: Entry; upstream: UpstreamId};
 
-/** A queue class for p-queue. */
-export type GrantQueue = Queue<Run, GrantQueueOptions>;
+/** A custom queue for p-queue. */
+export type GrantQueue = Queue<Task, GrantQueueOptions>;
 
-/** What decides the order of a queue. */
-export type Picker = {
-	/** The entry to run next; undefined while none of them has a free slot. */
-	getNext: (entries: Iterable<Entry>) => Pick | undefined;
-	/** Called before the entry is run. */
-	place: (pick: Pick) => void;
+/** Chooses the entries that leave a queue. */
+export type EntrySelector = {
+	/** Returns the entry to run next and its upstream; undefined while no upstream has a free slot for any entry. */
+	selectNext: (entries: Iterable<Entry>) => Assignment | undefined;
+	/** Called before the entry's task starts. */
+	grantSlot: (assignment: Assignment) => void;
 };
 
 /**
- * Creates a queue class for p-queue whose order is the picker's.
- * Its size counts only while some entry has a slot to run in, so that p-queue asks for nothing that can't run.
+ * Creates a queue class for p-queue that takes entries in the order of a selector.
+ * Its size is 0 while no entry has a free slot, so that p-queue dequeues only tasks that can run.
  */
-export const createQueueClass = (picker: Picker): new () => GrantQueue => class {
-	readonly #runs = new Map<Entry, Run>();
-	#next: Pick | undefined;
+export const createQueueClass = (selector: EntrySelector): new () => GrantQueue => class {
+	readonly #tasks = new Map<Entry, Task>();
+	#next: Assignment | undefined;
 
 	get size(): number {
-		this.#next = this.#runs.size === 0 ? undefined : picker.getNext(this.#runs.keys());
-		return this.#next === undefined ? 0 : this.#runs.size;
+		this.#next = this.#tasks.size === 0 ? undefined : selector.selectNext(this.#tasks.keys());
+		return this.#next === undefined ? 0 : this.#tasks.size;
 	}
 
-	enqueue(run: Run, options?: Partial<GrantQueueOptions>): void {
+	enqueue(task: Task, options?: Partial<GrantQueueOptions>): void {
 		if (options?.entry !== undefined) {
-			this.#runs.set(options.entry, run);
+			this.#tasks.set(options.entry, task);
 		}
 	}
 
-	dequeue(): Run | undefined {
-		const next = this.#next ?? picker.getNext(this.#runs.keys());
+	dequeue(): Task | undefined {
+		const next = this.#next ?? selector.selectNext(this.#tasks.keys());
 		this.#next = undefined;
 		if (next === undefined) {
 			return undefined;
 		}
 
-		const run = this.#runs.get(next.entry);
-		this.#runs.delete(next.entry);
-		picker.place(next);
-		return run;
+		const task = this.#tasks.get(next.entry);
+		this.#tasks.delete(next.entry);
+		selector.grantSlot(next);
+		return task;
 	}
 
-	filter(): Run[] {
-		return [...this.#runs.values()];
+	filter(): Task[] {
+		return [...this.#tasks.values()];
 	}
 
 	setPriority(): void {
-		// The picker orders entries by their tickets; priorities of p-queue play no part.
+		// The selector orders entries by their tickets; the priorities of p-queue are not used.
 	}
 
 	remove(id: string): void {
-		for (const entry of this.#runs.keys()) {
+		for (const entry of this.#tasks.keys()) {
 			if (entry.key === id) {
-				this.#runs.delete(entry);
+				this.#tasks.delete(entry);
 			}
 		}
 	}
--- a/packages/scheduler/src/owner/queries/candidates.ts
+++ b/packages/scheduler/src/owner/queries/candidates.ts
@@ -4,21 +4,22 @@
 import type {Milliseconds, Ticket} from '@gentianlift/types';
 import type {GroupState, UpstreamState} from '../state.js';
 
-/** A load report older than this is not used. */
-const oldestReport: Milliseconds = 10_000;
-/** How far the moments of a report and of grants may be apart. */
-const reportBlur: Milliseconds = 150;
-/** Requests of others in a report that are not believed once the owner has settled. */
-const foreignTolerance = 2;
-/** Part of its slots that a straggler keeps, for probing it. */
-const stragglerSlots = 0.25;
-/** Part of its slots that an upstream without a load report gets while other owners' grants aren't known yet. */
-const unsettledSlots = 0.5;
-/** Most upstreams of a group that may be held as stragglers, as a part of all. */
-const mostStragglers = 0.34;
-const leastSamples = 5;
+/** Load reports older than this are not used. */
+const maxReportAge: Milliseconds = 10_000;
+/** Tolerance when the time of a load report, by the engine's clock, is compared with the times of grants, by the owner's clock. */
+const reportTimeTolerance: Milliseconds = 150;
+/** Requests in a load report without a grant of this owner that are ignored once earlier owners' grants are known. */
+const foreignRequestTolerance = 2;
+/** Fraction of its slots that a straggler keeps, so that its speed is still measured. */
+const stragglerSlotFraction = 0.25;
+/** Fraction of its slots that an upstream without a load report gets while the grants of earlier owners are unknown. */
+const unreconciledSlotFraction = 0.5;
+/** Maximum fraction of a group's upstreams that are treated as stragglers. */
+const maxStragglerFraction = 0.34;
+/** Samples from which an upstream's speed is compared with that of others. */
+const minSpeedSamples = 5;
 
-/** Gets every upstream of a group with what the choice needs to know. */
+/** Returns every upstream of a group with the facts that the choice among them depends on. */
 export const getCandidates = (state: GroupState): Candidate[] => {
 	const speeds = getRelativeSpeeds(state);
 	const stragglers = getStragglers(state, speeds);
@@ -28,18 +29,18 @@
 		load: getUpstreamLoad(state, upstream),
 		slots: getUpstreamSlots(state, upstream, stragglers.has(upstream)),
 		relativeSpeed: speeds.get(upstream) ?? 1,
-		prefixes: upstream.prefixes,
+		prefixes: upstream.cachedPrefixes,
 		hasSuspect: [...upstream.running].some(entry => entry.ticket.isolated),
 	}));
 };
 
-/** Gets the candidates that hold what the ticket needs now, by their latest report. */
-export const getLoaded = (state: GroupState, candidates: readonly Candidate[], ticket: Ticket): Candidate[] =>
+/** Returns the candidates whose latest load report lists the model and adapter that the ticket needs as loaded. */
+export const getLoadedCandidates = (state: GroupState, candidates: readonly Candidate[], ticket: Ticket): Candidate[] =>
 	candidates.filter(candidate => isLoaded(state.upstreams.get(candidate.upstream.id), ticket));
 
 /** Whether some upstream has a free slot for the ticket. */
-export const hasSlot = (state: GroupState, candidates: readonly Candidate[], ticket: Ticket): boolean =>
-	getFitting(getLoaded(state, candidates, ticket), ticket).length > 0;
+export const hasFreeSlot = (state: GroupState, candidates: readonly Candidate[], ticket: Ticket): boolean =>
+	getFitting(getLoadedCandidates(state, candidates, ticket), ticket).length > 0;
 
 const isLoaded = (upstream: UpstreamState | undefined, ticket: Ticket): boolean => {
 	const report = upstream?.load?.report;
@@ -47,48 +48,48 @@
 		return true;
 	}
 
-	const held = new Set([...report.models.map(model => `model:${model}`), ...report.adapters.map(adapter => `adapter:${adapter}`)]);
-	return !report.leaving && ticket.needs.every(need => need.startsWith('service:') || held.has(need));
+	const loaded = new Set([...report.models.map(model => `model:${model}`), ...report.adapters.map(adapter => `adapter:${adapter}`)]);
+	return !report.leaving && ticket.needs.every(need => need.startsWith('service:') || loaded.has(need));
 };
 
-const getUpstreamSlots = (state: GroupState, {standing, upstream, load, transit}: UpstreamState, isStraggler: boolean): number => {
-	const isUnsettled = load === undefined && state.context.clock.monotonic() < state.settledAt;
+const getUpstreamSlots = (state: GroupState, {standing, upstream, load, slotHoldRatio}: UpstreamState, isStraggler: boolean): number => {
+	const isUnreconciled = load === undefined && state.context.clock.monotonic() < state.reconciledAt;
 	if (standing === 'probing') {
 		return 1;
 	}
 
-	const share = state.slotShare * (isStraggler ? stragglerSlots : 1) * (isUnsettled ? unsettledSlots : 1);
-	// A slot is free at the upstream while messages about it are under way, so a few more grants may be out.
-	return Math.max(1, Math.floor(upstream.slots * share * transit.mean));
+	const fraction = state.slotFraction * (isStraggler ? stragglerSlotFraction : 1) * (isUnreconciled ? unreconciledSlotFraction : 1);
+	// A slot is already free at the upstream while the message about it travels, so more grants than slots may be outstanding.
+	return Math.max(1, Math.floor(upstream.slots * fraction * slotHoldRatio.mean));
 };
 
-const getUpstreamLoad = (state: GroupState, {running, ended, load}: UpstreamState): number => {
+const getUpstreamLoad = (state: GroupState, {running, recentRuns, load}: UpstreamState): number => {
 	const now = state.context.clock.monotonic();
-	if (load === undefined || now - load.receivedAt > oldestReport) {
+	if (load === undefined || now - load.receivedAt > maxReportAge) {
 		return running.size;
 	}
 
-	const isAtReport = (startedAt: Milliseconds, endedAt: Milliseconds): boolean =>
-		startedAt <= load.at + reportBlur && endedAt >= load.at - reportBlur;
-	const runningAt = [...running].filter(({state}) => state.kind === 'running' && isAtReport(state.startedAt, now));
-	const endedSince = ended.filter(run => isAtReport(run.startedAt, run.endedAt));
-	const tolerance = now < state.settledAt ? 0 : foreignTolerance;
-	return getLoad(running.size, runningAt.length + endedSince.length + tolerance, load.report);
+	const wasRunningAtReport = (startedAt: Milliseconds, endedAt: Milliseconds): boolean =>
+		startedAt <= load.at + reportTimeTolerance && endedAt >= load.at - reportTimeTolerance;
+	const runningAtReport = [...running].filter(({state}) => state.kind === 'running' && wasRunningAtReport(state.startedAt, now));
+	const endedSinceReport = recentRuns.filter(run => wasRunningAtReport(run.startedAt, run.endedAt));
+	const tolerance = now < state.reconciledAt ? 0 : foreignRequestTolerance;
+	return getLoad(running.size, runningAtReport.length + endedSinceReport.length + tolerance, load.report);
 };
 
 const getRelativeSpeeds = (state: GroupState): Map<UpstreamState, number> => {
-	const known = [...state.upstreams.values()].filter(({decode}) => decode.samples >= leastSamples);
-	const sorted = known.map(({decode}) => decode.mean).toSorted((first, second) => first - second);
+	const measured = [...state.upstreams.values()].filter(({timePerOutputToken}) => timePerOutputToken.samples >= minSpeedSamples);
+	const sorted = measured.map(({timePerOutputToken}) => timePerOutputToken.mean).toSorted((first, second) => first - second);
 	const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
-	return new Map(known.map(upstream => [upstream, median / Math.max(upstream.decode.mean, Number.EPSILON)]));
+	return new Map(measured.map(upstream => [upstream, median / Math.max(upstream.timePerOutputToken.mean, Number.EPSILON)]));
 };
 
 const getStragglers = (state: GroupState, speeds: ReadonlyMap<UpstreamState, number>): Set<UpstreamState> => {
-	if (state.context.without.has('straggler')) {
+	if (state.context.disabledMechanisms.has('straggler')) {
 		return new Set();
 	}
 
 	const slow = [...speeds].filter(([, speed]) => speed < stragglerSpeed);
-	const bound = Math.floor(state.upstreams.size * mostStragglers);
-	return new Set(slow.toSorted(([, first], [, second]) => first - second).slice(0, bound).map(([upstream]) => upstream));
+	const maxStragglers = Math.floor(state.upstreams.size * maxStragglerFraction);
+	return new Set(slow.toSorted(([, first], [, second]) => first - second).slice(0, maxStragglers).map(([upstream]) => upstream));
 };
--- a/packages/scheduler/src/owner/queries/overview.ts
+++ b/packages/scheduler/src/owner/queries/overview.ts
@@ -2,39 +2,40 @@
 	GroupId, Milliseconds, Rank, UpstreamId,
 } from '@gentianlift/types';
 import type {GroupState, Standing} from '../state.js';
-import {getOutlook} from './times.js';
+import {getCapacityForecast} from './forecast.js';
 
-/** How many tickets of a rank wait and run. */
+/** Numbers of waiting and running tickets of a rank. */
 export type RankOverview = {rank: Rank; waiting: number; running: number};
 
-/** A group as its owner sees it. */
+/** The owner's view of a group at one moment. */
 export type GroupOverview = {
 	group: GroupId;
 	slots: number;
-	nextFree: Milliseconds;
+	/** Expected time until the first slot is free. */
+	timeToFreeSlot: Milliseconds;
 	ranks: RankOverview[];
-	/** Waiting tickets by what they need, for decisions on which models to load. */
-	demand: Array<{needs: string[]; waiting: number; leastSlack: Milliseconds; rank: Rank}>;
-	upstreams: Array<{upstream: UpstreamId; standing: Standing; running: number; decode: Milliseconds}>;
+	/** Waiting tickets by the models, adapters and services that they need, for decisions on which models to load. */
+	demand: Array<{needs: string[]; waiting: number; minSlack: Milliseconds; rank: Rank}>;
+	upstreams: Array<{upstream: UpstreamId; standing: Standing; running: number; timePerOutputToken: Milliseconds}>;
 };
 
-/** Gets the overview of a group. */
+/** Returns the overview of a group. */
 export const getGroupOverview = (state: GroupState): GroupOverview => ({
 	group: state.group.id,
-	...getTimes(state),
-	ranks: getRanks(state),
+	...getSlotOverview(state),
+	ranks: getRankOverviews(state),
 	demand: getDemand(state),
-	upstreams: [...state.upstreams].map(([upstream, {standing, running, decode}]) => ({
-		upstream, standing, running: running.size, decode: decode.mean,
+	upstreams: [...state.upstreams].map(([upstream, {standing, running, timePerOutputToken}]) => ({
+		upstream, standing, running: running.size, timePerOutputToken: timePerOutputToken.mean,
 	})),
 });
 
-const getTimes = (state: GroupState): Pick<GroupOverview, 'slots' | 'nextFree'> => {
-	const {slots, nextFree} = getOutlook(state);
-	return {slots, nextFree};
+const getSlotOverview = (state: GroupState): Pick<GroupOverview, 'slots' | 'timeToFreeSlot'> => {
+	const {slots, timeToFreeSlot} = getCapacityForecast(state);
+	return {slots, timeToFreeSlot};
 };
 
-const getRanks = (state: GroupState): RankOverview[] => {
+const getRankOverviews = (state: GroupState): RankOverview[] => {
 	const ranks = state.context.tiers.map((_, rank) => ({rank, waiting: 0, running: 0}));
 	for (const {ticket, state: {kind}} of state.entries.values()) {
 		const overview = ranks[ticket.rank];
@@ -53,12 +54,12 @@
 		if (kind === 'waiting') {
 			const key = ticket.needs.join('+');
 			const known = demand.get(key) ?? {
-				needs: ticket.needs, waiting: 0, leastSlack: Number.POSITIVE_INFINITY, rank: ticket.rank,
+				needs: ticket.needs, waiting: 0, minSlack: Number.POSITIVE_INFINITY, rank: ticket.rank,
 			};
 			demand.set(key, {
 				...known,
 				waiting: known.waiting + 1,
-				leastSlack: Math.min(known.leastSlack, deadline - now),
+				minSlack: Math.min(known.minSlack, deadline - now),
 				rank: Math.min(known.rank, ticket.rank),
 			});
 		}
--- a/packages/scheduler/src/owner/queries/precedence.ts
+++ b/packages/scheduler/src/owner/queries/precedence.ts
@@ -2,9 +2,9 @@
 	type FloorDemand, getFloorsDue, getLeads, type Precedence,
 } from '@gentianlift/policy';
 import type {CustomerId, Rank} from '@gentianlift/types';
-import {type Entry, getSlots, type GroupState} from '../state.js';
+import {type Entry, getUsableSlots, type GroupState} from '../state.js';
 
-/** Gets what each tier has and wants of a group. */
+/** Returns the floor of each tier, the slots that it uses in a group, and whether it waits for more. */
 export const getFloorDemands = (state: GroupState): FloorDemand[] => {
 	const running = new Map<Rank, number>();
 	const waiting = new Set<Rank>();
@@ -18,22 +18,22 @@
 
 	return state.context.tiers.map(({floor}, rank) => ({
 		rank,
-		// The highest tier has nothing above it to be kept from.
+		// The highest tier needs no floor, since no tier precedes it.
 		floor: rank === 0 ? 0 : floor,
 		running: running.get(rank) ?? 0,
 		waiting: waiting.has(rank),
 	}));
 };
 
-/** Gets what the order of a group's waiting entries depends on. */
+/** Returns the precedence of a group's waiting entries: floors that are due, and each customer's lead in fair sharing. */
 export const getPrecedence = (state: GroupState, waiting: Iterable<Entry>): Precedence => {
-	const {without} = state.context;
-	const floorsDue = without.has('floor') ? [] : getFloorsDue(state.floorDebts, getFloorDemands(state), getSlots(state));
-	if (without.has('fairness')) {
+	const {disabledMechanisms} = state.context;
+	const floorsDue = disabledMechanisms.has('floor') ? [] : getFloorsDue(state.floorDebts, getFloorDemands(state), getUsableSlots(state));
+	if (disabledMechanisms.has('fairness')) {
 		return {floorsDue, getLead: () => 0};
 	}
 
-	const leads = new Map([...getCustomers(waiting)].map(([rank, customers]) => [rank, getLeads(state.shares, rank, customers)]));
+	const leads = new Map([...getCustomers(waiting)].map(([rank, customers]) => [rank, getLeads(state.fairShares, rank, customers)]));
 	return {floorsDue, getLead: (rank, customer) => leads.get(rank)?.get(customer) ?? 0};
 };
 
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -9,7 +9,7 @@
 } from '@gentianlift/types';
 import type {GrantQueue, GrantQueueOptions} from './grant-queue.js';
 
-/** How an upstream stands with the host: `probing` takes one request at a time. */
+/** Availability of an upstream as this host sees it; a `probing` upstream gets one request at a time. */
 export const standings = ['available', 'probing', 'ejected', 'leaving'] as const;
 /** One of `standings`. */
 export type Standing = typeof standings[number];
@@ -19,60 +19,61 @@
 /** One of `mechanisms`. */
 export type Mechanism = typeof mechanisms[number];
 
-/** Where an entry stands at the owner. */
+/** Whether an entry waits for a slot or holds one. */
 export type EntryState
 	= | {kind: 'waiting'}
-		| {kind: 'running'; upstream: UpstreamId; startedAt: Milliseconds; expected: Milliseconds; yielding: boolean};
+		| {kind: 'running'; upstream: UpstreamId; startedAt: Milliseconds; expectedDuration: Milliseconds; yielding: boolean};
 
-/** A ticket at the owner of its group. Times are on the owner's monotonic clock. */
+/** A ticket as the owner of its group tracks it. Times are on the owner's monotonic clock. */
 export type Entry = Waiting & {
-	/** Request and attempt as text. */
+	/** Request id and attempt, joined; the id of the entry's task in the queue. */
 	key: string;
 	host: HostId;
 	incarnation: Incarnation;
-	/** Sequence of the host's message that brought the ticket. */
-	askedIn: number;
+	/** Sequence number of the host's message that carried the ticket. */
+	askSequence: number;
+	/** Time at which the host last named the ticket. */
 	refreshedAt: Milliseconds;
 	state: EntryState;
-	/** Ends the entry's part in the queue. */
-	finish: () => void;
+	/** Ends the entry's task in the queue, whether it waits or runs. */
+	endTask: () => void;
 };
 
-/** A run that ended lately. */
-export type EndedRun = {startedAt: Milliseconds; endedAt: Milliseconds; fingerprint: string; failed: boolean};
+/** A run of a request on an upstream that ended recently. */
+export type CompletedRun = {startedAt: Milliseconds; endedAt: Milliseconds; fingerprint: string; failed: boolean};
 
-/** What the owner knows of an upstream. */
+/** The owner's view of an upstream. */
 export type UpstreamState = {
 	upstream: GroupUpstream;
 	standing: Standing;
 	load?: {report: LoadReport; at: Milliseconds; receivedAt: Milliseconds};
 	running: Set<Entry>;
-	ended: EndedRun[];
-	/** Digests of prefixes that it is taken to hold, oldest first. */
-	prefixes: Set<string>;
-	/** Milliseconds for each output token. */
-	decode: Estimate;
-	/** How many times as long a grant is out as its run takes at the host; more than 1 by the time of messages. */
-	transit: Estimate;
-	/** The last crash, and the fingerprints that count as its suspects. */
-	crash?: {at: Milliseconds; fingerprints: Set<string>};
+	recentRuns: CompletedRun[];
+	/** Digests of the prompt prefixes that its cache is assumed to hold, least recently used first. */
+	cachedPrefixes: Set<string>;
+	/** Milliseconds per output token. */
+	timePerOutputToken: Estimate;
+	/** Time for which a grant holds its slot at the owner, divided by the duration of its run at the host; above 1 because of message latency. */
+	slotHoldRatio: Estimate;
+	/** The last crash, and the fingerprints that it made suspects. */
+	lastCrash?: {at: Milliseconds; fingerprints: Set<string>};
 };
 
-/** Estimates by class. */
+/** Estimates of the runs of one class. */
 export type ClassEstimates = {
-	tokens: Estimate;
-	firstToken: Estimate;
-	/** Whole duration in milliseconds. */
+	outputTokens: Estimate;
+	timeToFirstToken: Estimate;
+	/** Duration of the whole run, in milliseconds. */
 	duration: Estimate;
 };
 
-/** What all groups of an owner share. */
+/** Dependencies and state that all groups of an owner share. */
 export type OwnerContext = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	zoneOf: (host: HostId) => Zone | undefined;
-	without: ReadonlySet<Mechanism>;
+	getZone: (host: HostId) => Zone | undefined;
+	disabledMechanisms: ReadonlySet<Mechanism>;
 	tiers: readonly Tier[];
 	suspects: Suspects;
 };
@@ -82,41 +83,44 @@
 	readonly context: OwnerContext;
 	group: Group;
 	readonly upstreams: Map<UpstreamId, UpstreamState>;
-	/** Waiting and running entries by request. */
+	/** Waiting and running entries, by request. */
 	readonly entries: Map<RequestId, Entry>;
-	/** Highest attempt that ended, by request, and when; so that late messages have no effect. */
-	readonly ended: Map<RequestId, {attempt: number; at: Milliseconds}>;
-	readonly shares: Shares;
+	/** Highest attempt that has ended, by request, with its time; messages about it that arrive later have no effect. */
+	readonly endedAttempts: Map<RequestId, {attempt: number; at: Milliseconds}>;
+	/** Weighted service that customers have received, for fair sharing within a rank. */
+	readonly fairShares: Shares;
+	/** Service owed to each rank by its floor. */
 	floorDebts: FloorDebts;
-	/** Part of the slots that ranks had lately, as a moving mean. */
-	use: ReadonlyMap<Rank, number>;
-	/** Moment up to which debts and use are counted. */
-	countedTo: Milliseconds;
-	/** Moment of the last review. */
-	reviewedAt: Milliseconds;
+	/** Fraction of the slots that each rank uses, as an exponential moving average. */
+	rankUtilization: ReadonlyMap<Rank, number>;
+	/** Time up to which `floorDebts` and `rankUtilization` are accounted. */
+	accountedUntil: Milliseconds;
+	/** Time of the last scheduling pass. */
+	lastPassAt: Milliseconds;
 	readonly estimates: Map<string, ClassEstimates>;
-	/** Moment from which other owners' grants are taken to be known. */
-	settledAt: Milliseconds;
-	/** Share of each upstream's slots that this owner may use; below 1 where other hosts decide beside it. */
-	slotShare: number;
+	/** Time from which the grants of earlier owners are assumed to be known, since the hosts have reported them. */
+	reconciledAt: Milliseconds;
+	/** Fraction of each upstream's slots that this owner may use; below 1 in degraded mode, where each host grants slots on its own. */
+	slotFraction: number;
+	/** Decisions that are not sent yet, by host. */
 	readonly outbox: Map<HostId, Decision[]>;
-	readonly sequences: Map<HostId, {incarnation: Incarnation; sequence: number}>;
+	readonly latestSequences: Map<HostId, {incarnation: Incarnation; sequence: number}>;
 	readonly queue: PQueue<GrantQueue, GrantQueueOptions>;
 	nextSequence: number;
 };
 
-/** Text that names a ticket. */
+/** Returns the key of a ticket. */
 export const getEntryKey = (request: RequestId, attempt: number): string => `${request}/${attempt}`;
 
-/** Gets the waiting entries of a group. */
-export const getWaiting = (state: GroupState): Entry[] => [...state.entries.values()].filter(entry => entry.state.kind === 'waiting');
+/** Returns the waiting entries of a group. */
+export const getWaitingEntries = (state: GroupState): Entry[] => [...state.entries.values()].filter(entry => entry.state.kind === 'waiting');
 
-/** Gets the slots of all upstreams of a group that take work. */
-export const getSlots = (state: GroupState): number => {
+/** Returns how many slots this owner may use on all upstreams of a group that accept requests; at least 1. */
+export const getUsableSlots = (state: GroupState): number => {
 	let slots = 0;
 	for (const {standing, upstream} of state.upstreams.values()) {
 		slots += standing === 'available' || standing === 'probing' ? upstream.slots : 0;
 	}
 
-	return Math.max(1, slots * state.slotShare);
+	return Math.max(1, slots * state.slotFraction);
 };
