--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -3,14 +3,14 @@
 	ClassifiedRequest, RequestId, Settings, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
 import {type Baseline, createBaseline} from './baseline.js';
-import {getTicket} from './tickets.js';
+import {createTicket} from './tickets.js';
 import type {
 	AskOptions, Grant, GrantClient, GrantClientOptions,
 } from './types.js';
 
 const retryAfter = 1000;
 
-/** Grants at once: no order, no admission and no word to other hosts. */
+/** Grants every request at once, without queue, admission control or coordination with other hosts. */
 export class BaselineClient implements GrantClient {
 	readonly #options: GrantClientOptions;
 	readonly #baseline: Baseline;
@@ -22,7 +22,7 @@
 	}
 
 	readonly ask = async (request: ClassifiedRequest, options: AskOptions = {}): Promise<Grant> => {
-		const ticket = getTicket(request, options, this.#options.clock.now());
+		const ticket = createTicket(request, options, this.#options.clock.now());
 		const groups = getGroupsFor(this.#options.getGroups(), ticket.needs);
 		const upstream = this.#baseline.choose(groups, ticket);
 		if (upstream === undefined) {
@@ -44,16 +44,16 @@
 	};
 
 	readonly withdraw = (): void => {
-		// Nothing waits.
+		// Requests never wait.
 	};
 
 	readonly receive = (): void => {
-		// Nothing was asked of an owner.
+		// No owner pushes decisions, since none was asked for a grant.
 	};
 
 	readonly getCounts = (): {waiting: number; running: number; bytes: number} => ({waiting: 0, running: this.#running.size, bytes: 0});
 
 	readonly stop = (): void => {
-		// No timer runs.
+		// The client has no timer.
 	};
 }
--- a/packages/scheduler/src/client/baseline.ts
+++ b/packages/scheduler/src/client/baseline.ts
@@ -2,27 +2,27 @@
 import {type Group, type GroupUpstream, hasNeeds} from '@gentianlift/policy';
 import type {Settings, Ticket, UpstreamId} from '@gentianlift/types';
 
-/** Way of a host that orders nothing and asks nobody, for comparison. */
+/** Load balancing by one host on its own, without queue or coordination, as a baseline for comparison. */
 export type Baseline = {
 	choose: (groups: readonly Group[], ticket: Ticket) => UpstreamId | undefined;
 	end: (upstream: UpstreamId) => void;
 };
 
-/** Creates a baseline: round robin, or least outstanding requests of this host. */
+/** Creates a baseline: round robin (`first-in-first-out`), or the upstream with the fewest outstanding requests of this host. */
 export const createBaseline = (order: Exclude<Settings['order'], 'policy'>, random: Random): Baseline => {
 	const outstanding = new Map<UpstreamId, number>();
-	let turn = random.below(1024);
+	let nextIndex = random.below(1024);
 
-	const pick = (fitting: readonly GroupUpstream[]): UpstreamId | undefined => {
+	const selectUpstream = (fitting: readonly GroupUpstream[]): UpstreamId | undefined => {
 		switch (order) {
 			case 'first-in-first-out': {
-				turn++;
-				return fitting[turn % fitting.length]?.id;
+				nextIndex++;
+				return fitting[nextIndex % fitting.length]?.id;
 			}
 
 			case 'least-outstanding': {
-				const least = Math.min(...fitting.map(({id}) => outstanding.get(id) ?? 0));
-				return random.pick(fitting.filter(({id}) => (outstanding.get(id) ?? 0) === least))?.id;
+				const fewest = Math.min(...fitting.map(({id}) => outstanding.get(id) ?? 0));
+				return random.pick(fitting.filter(({id}) => (outstanding.get(id) ?? 0) === fewest))?.id;
 			}
 		}
 	};
@@ -31,7 +31,7 @@
 		choose(groups, ticket) {
 			const upstreams = groups.flatMap(group => group.upstreams);
 			const fitting = upstreams.filter(upstream => hasNeeds(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id));
-			const id = pick(fitting);
+			const id = selectUpstream(fitting);
 			if (id !== undefined) {
 				outstanding.set(id, (outstanding.get(id) ?? 0) + 1);
 			}
--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -3,21 +3,21 @@
 } from '@gentianlift/types';
 import {countMessage} from '../count-message.js';
 import {
-	hasNews, prepareOwner, restoreMessage, takeMessage,
-} from './line.js';
-import {getWithdrawal} from './tickets.js';
-import type {GrantClientOptions, Line} from './types.js';
-
-/** Exchanges of one line under way at once, so that asks and ends needn't wait for an answer. */
-const mostInFlight = 4;
-/** Exchanges that fail in a row before the host orders its own work. */
-export const failuresBeforeAlone = 2;
-/** The same for answers of hosts that don't take themselves for the owner: views agree again within moments. */
-const refusalsBeforeAlone = 8;
+	hasUnsent, restoreBatch, switchOwner, takeBatch,
+} from './session.js';
+import {createWithdrawal} from './tickets.js';
+import type {GrantClientOptions, GroupSession} from './types.js';
+
+/** Maximum number of exchanges of one session in flight; more than one, so that tickets and ends needn't wait for an answer. */
+const maxInFlight = 4;
+/** Consecutive failures of exchanges after which the host enters degraded mode. */
+export const failuresBeforeDegraded = 2;
+/** The same for answers of hosts that aren't the owner in their own view; more, since the hosts' views soon agree again. */
+const refusalsBeforeDegraded = 8;
 const retryDelay: Milliseconds = 40;
-const recoveryDelay: Milliseconds = 1000;
+const probeDelay: Milliseconds = 1000;
 
-/** Exchanges batches with the owners of groups; while an owner can't be reached, with this host's own order. */
+/** Exchanges batches with the owners of groups; while an owner can't be reached, with this host's own owner in degraded mode. */
 export class Exchange {
 	readonly #options: GrantClientOptions;
 	readonly #apply: (answer: GrantAnswer) => void;
@@ -27,54 +27,54 @@
 		this.#apply = apply;
 	}
 
-	/** Sends what there is, at once unless several batches are under way. */
-	flush(line: Line): void {
-		const owner = this.#getOwner(line);
+	/** Sends the next batch of a session unless too many are in flight. In degraded mode, hands it to the local owner and probes the group's owner. */
+	flush(session: GroupSession): void {
+		const owner = this.#getOwner(session);
 		if (owner === undefined) {
-			this.#separate(line);
+			this.#enterDegradedMode(session);
 		}
 
-		const mostUnderWay = line.mode === 'alone' ? 1 : mostInFlight;
-		const mayCall = owner !== undefined && line.inFlight < mostUnderWay && this.#options.clock.monotonic() >= line.notBefore;
-		if (line.mode === 'alone') {
-			this.#exchangeAlone(line);
+		const inFlightLimit = session.mode === 'alone' ? 1 : maxInFlight;
+		const canCall = owner !== undefined && session.inFlight < inFlightLimit && this.#options.clock.monotonic() >= session.notBefore;
+		if (session.mode === 'alone') {
+			this.#exchangeLocally(session);
 		}
 
-		if (mayCall) {
-			void (line.mode === 'alone' ? this.#probe(line, owner) : this.#exchange(line, owner));
+		if (canCall) {
+			void (session.mode === 'alone' ? this.#probe(session, owner) : this.#exchange(session, owner));
 		}
 	}
 
-	#getOwner({group}: Line): HostId | undefined {
+	#getOwner({group}: GroupSession): HostId | undefined {
 		const {without, getOwnerOf} = this.#options;
 		return without?.includes('grants') === true ? undefined : getOwnerOf(group);
 	}
 
-	#exchangeAlone(line: Line): void {
-		const message = takeMessage(line, this.#options);
+	#exchangeLocally(session: GroupSession): void {
+		const message = takeBatch(session, this.#options);
 		this.#options.metrics.count('grants_degraded', {}, message.asks.length);
 		this.#apply(this.#options.getLocalOwner().handleDegraded(message));
 	}
 
-	async #exchange(line: Line, owner: HostId): Promise<void> {
-		prepareOwner(line, owner, this.#options.clock.monotonic());
-		const message = takeMessage(line, this.#options);
+	async #exchange(session: GroupSession, owner: HostId): Promise<void> {
+		switchOwner(session, owner, this.#options.clock.monotonic());
+		const message = takeBatch(session, this.#options);
 		if (owner === this.#options.self) {
-			this.#takeAnswer(line, message, this.#options.getLocalOwner().handle(owner, message));
+			this.#handleAnswer(session, message, this.#options.getLocalOwner().handle(owner, message));
 			return;
 		}
 
-		const outcome = await this.#call(line, owner, message);
-		this.#takeOutcome(line, message, outcome);
-		if (hasNews(line)) {
-			this.flush(line);
+		const outcome = await this.#call(session, owner, message);
+		this.#handleOutcome(session, message, outcome);
+		if (hasUnsent(session)) {
+			this.flush(session);
 		}
 	}
 
-	async #call(line: Line, owner: HostId, message: GrantRequest): Promise<PeerOutcome<GrantAnswer>> {
-		line.inFlight++;
+	async #call(session: GroupSession, owner: HostId, message: GrantRequest): Promise<PeerOutcome<GrantAnswer>> {
+		session.inFlight++;
 		const outcome = await this.#options.peers.exchangeGrants(owner, message);
-		line.inFlight--;
+		session.inFlight--;
 		countMessage(this.#options.metrics, 'ask', message);
 		if (outcome.kind === 'answered') {
 			countMessage(this.#options.metrics, 'answer', outcome.answer);
@@ -83,92 +83,92 @@
 		return outcome;
 	}
 
-	/** Asks the owner for nothing, to find out whether it can be reached again. */
-	async #probe(line: Line, owner: HostId): Promise<void> {
+	/** Sends the owner an empty batch to find out whether it can be reached again. */
+	async #probe(session: GroupSession, owner: HostId): Promise<void> {
 		const {self, getLocalOwner} = this.#options;
-		const taken = takeMessage(line, this.#options);
-		restoreMessage(line, taken);
-		const message: GrantRequest = {...taken, asks: [], ends: []};
+		const batch = takeBatch(session, this.#options);
+		restoreBatch(session, batch);
+		const message: GrantRequest = {...batch, asks: [], ends: []};
 		delete message.held;
 		const outcome: PeerOutcome<GrantAnswer> = owner === self
 			? {kind: 'answered', answer: getLocalOwner().handle(self, message)}
-			: await this.#call(line, owner, message);
+			: await this.#call(session, owner, message);
 		if (outcome.kind === 'answered' && outcome.answer.owner) {
-			this.#rejoin(line);
-			this.flush(line);
+			this.#leaveDegradedMode(session);
+			this.flush(session);
 		} else {
-			this.#fail(line);
+			this.#recordFailure(session);
 		}
 	}
 
-	/** Moves a line back from this host's order to the owner's. */
-	#rejoin(line: Line): void {
-		const waiting = [...line.pending.values()].filter(pending => pending.upstream === undefined);
-		const ends = waiting.map(({ticket}) => getWithdrawal(ticket));
-		const message = takeMessage(line, this.#options);
+	/** Moves the held requests of a session back from this host to the owner. */
+	#leaveDegradedMode(session: GroupSession): void {
+		const waiting = [...session.heldRequests.values()].filter(held => held.upstream === undefined);
+		const ends = waiting.map(({ticket}) => createWithdrawal(ticket));
+		const message = takeBatch(session, this.#options);
 		this.#options.getLocalOwner().handleDegraded({...message, asks: [], ends: [...message.ends, ...ends]});
-		line.asks = new Set(waiting);
-		line.mode = 'owner';
-		line.owner = undefined;
-		line.failures = 0;
+		session.unsentRequests = new Set(waiting);
+		session.mode = 'owner';
+		session.owner = undefined;
+		session.consecutiveFailures = 0;
 		this.#options.metrics.count('grant_lines_recovered');
 	}
 
-	#takeOutcome(line: Line, message: GrantRequest, outcome: PeerOutcome<GrantAnswer>): void {
+	#handleOutcome(session: GroupSession, message: GrantRequest, outcome: PeerOutcome<GrantAnswer>): void {
 		switch (outcome.kind) {
 			case 'answered': {
-				this.#takeAnswer(line, message, outcome.answer);
+				this.#handleAnswer(session, message, outcome.answer);
 				break;
 			}
 
 			case 'unreachable':
 			case 'unknown': {
 				this.#options.metrics.count('grant_exchange_failures', {kind: outcome.kind});
-				restoreMessage(line, message);
-				this.#fail(line);
+				restoreBatch(session, message);
+				this.#recordFailure(session);
 				break;
 			}
 		}
 	}
 
-	#takeAnswer(line: Line, message: GrantRequest, answer: GrantAnswer): void {
+	#handleAnswer(session: GroupSession, message: GrantRequest, answer: GrantAnswer): void {
 		if (!answer.owner) {
 			this.#options.metrics.count('grant_exchange_failures', {kind: 'not-owner'});
-			restoreMessage(line, message);
-			this.#fail(line, refusalsBeforeAlone);
+			restoreBatch(session, message);
+			this.#recordFailure(session, refusalsBeforeDegraded);
 			return;
 		}
 
-		line.failures = 0;
-		line.sendsTickets = answer.wanted !== undefined && answer.wanted.length > 0;
-		if (line.sendsTickets) {
-			line.heartbeatAt = this.#options.clock.monotonic();
+		session.consecutiveFailures = 0;
+		session.includesTickets = answer.wanted !== undefined && answer.wanted.length > 0;
+		if (session.includesTickets) {
+			session.nextHeartbeatAt = this.#options.clock.monotonic();
 		}
 
 		this.#apply(answer);
 	}
 
-	#fail(line: Line, mostFailures = failuresBeforeAlone): void {
+	#recordFailure(session: GroupSession, maxFailures = failuresBeforeDegraded): void {
 		const {clock, random} = this.#options;
-		line.failures++;
-		line.owner = undefined;
-		const delay = line.failures < mostFailures ? retryDelay : recoveryDelay;
-		line.notBefore = clock.monotonic() + (delay * (0.5 + random.next()));
-		if (line.failures >= mostFailures) {
-			this.#separate(line);
-			this.#exchangeAlone(line);
+		session.consecutiveFailures++;
+		session.owner = undefined;
+		const delay = session.consecutiveFailures < maxFailures ? retryDelay : probeDelay;
+		session.notBefore = clock.monotonic() + (delay * (0.5 + random.next()));
+		if (session.consecutiveFailures >= maxFailures) {
+			this.#enterDegradedMode(session);
+			this.#exchangeLocally(session);
 		}
 	}
 
-	/** Lets this host order the line's work on its share of the slots. */
-	#separate(line: Line): void {
-		if (line.mode === 'alone') {
+	/** Lets this host grant the session's requests slots, within its own fraction of the slots. */
+	#enterDegradedMode(session: GroupSession): void {
+		if (session.mode === 'alone') {
 			return;
 		}
 
-		line.mode = 'alone';
-		line.heartbeatAt = this.#options.clock.monotonic();
-		line.asks = new Set([...line.pending.values()].filter(pending => pending.upstream === undefined));
+		session.mode = 'alone';
+		session.nextHeartbeatAt = this.#options.clock.monotonic();
+		session.unsentRequests = new Set([...session.heldRequests.values()].filter(held => held.upstream === undefined));
 		this.#options.metrics.count('grant_lines_degraded');
 	}
 }
--- a/packages/scheduler/src/client/tickets.ts
+++ b/packages/scheduler/src/client/tickets.ts
@@ -2,13 +2,13 @@
 import type {
 	ClassifiedRequest, HeldTicket, Milliseconds, Ticket, TicketEnd,
 } from '@gentianlift/types';
-import type {AskOptions, Pending} from './types.js';
+import type {AskOptions, HeldRequest} from './types.js';
 
-/** Digests of the longest prefixes that go with a ticket. */
-const mostPrefixDigests = 4;
+/** Maximum number of prefix digests in a ticket; those of the longest prefixes are sent. */
+const maxPrefixDigests = 4;
 
-/** Gets the ticket of a request. */
-export const getTicket = (request: ClassifiedRequest, options: AskOptions, now: Milliseconds): Ticket => {
+/** Creates the ticket of a request. */
+export const createTicket = (request: ClassifiedRequest, options: AskOptions, now: Milliseconds): Ticket => {
 	const ticket: Ticket = {
 		request: request.id,
 		attempt: options.attempt ?? 1,
@@ -21,7 +21,7 @@
 		expectedTokens: request.work.kind === 'generation' ? request.expectedTokens : 0,
 		promptTokens: request.work.kind === 'generation' ? request.work.promptTokens : 0,
 		needs: getNeeds(request.work),
-		prefix: request.work.kind === 'generation' ? request.work.prefix.slice(-mostPrefixDigests) : [],
+		prefix: request.work.kind === 'generation' ? request.work.prefix.slice(-maxPrefixDigests) : [],
 		avoid: options.avoid ?? [],
 		isolated: options.isolated ?? false,
 		idempotent: request.idempotent,
@@ -38,33 +38,33 @@
 	return ticket;
 };
 
-/** Gets a ticket with its times as of now. */
-export const getCurrentTicket = ({ticket, askedAt}: Pending, now: Milliseconds): Ticket => {
+/** Returns the ticket of a held request with its slack and wait as of now. */
+export const getCurrentTicket = ({ticket, askedAt}: HeldRequest, now: Milliseconds): Ticket => {
 	const elapsed = now - askedAt;
 	return {...ticket, slack: Math.round(ticket.slack - elapsed), waited: Math.round(ticket.waited + elapsed)};
 };
 
-/** Gets what a heartbeat says of a request. */
-export const getHeld = (pending: Pending, now: Milliseconds, withTicket: boolean): HeldTicket => {
-	const held: HeldTicket = {request: pending.ticket.request, attempt: pending.ticket.attempt};
-	if (pending.upstream !== undefined) {
-		held.upstream = pending.upstream;
+/** Creates a heartbeat's entry for a request. */
+export const createHeldTicket = (heldRequest: HeldRequest, now: Milliseconds, withTicket: boolean): HeldTicket => {
+	const held: HeldTicket = {request: heldRequest.ticket.request, attempt: heldRequest.ticket.attempt};
+	if (heldRequest.upstream !== undefined) {
+		held.upstream = heldRequest.upstream;
 	}
 
 	if (withTicket) {
-		held.ticket = getCurrentTicket(pending, now);
+		held.ticket = getCurrentTicket(heldRequest, now);
 	}
 
 	return held;
 };
 
-/** Gets the end of an attempt that never ran. */
-export const getWithdrawal = ({request, attempt}: Pick<Ticket, 'request' | 'attempt'>): TicketEnd => ({
+/** Creates the end of an attempt that never ran. */
+export const createWithdrawal = ({request, attempt}: Pick<Ticket, 'request' | 'attempt'>): TicketEnd => ({
 	request, attempt, kind: 'withdrawn', tokens: 0, duration: 0,
 });
 
-/** Gets an end with whole numbers, which are shorter on the wire. */
-export const getRoundedEnd = (end: TicketEnd): TicketEnd => {
+/** Rounds the times of an end to whole milliseconds, which are shorter on the wire. */
+export const roundEnd = (end: TicketEnd): TicketEnd => {
 	const rounded: TicketEnd = {...end, duration: Math.round(end.duration)};
 	if (end.firstTokenAfter !== undefined) {
 		rounded.firstTokenAfter = Math.round(end.firstTokenAfter);
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -6,37 +6,37 @@
 } from '@gentianlift/types';
 import type {GroupOwner, Mechanism} from '../owner/index.js';
 
-/** The answer to a request that asks for an upstream. */
+/** The answer to a request for an upstream slot. */
 export type Grant
 	= | {
 		kind: 'granted';
 		upstream: UpstreamId;
-		/** Priority for the engine; the least number goes first. */
+		/** Priority for the engine; the lowest number goes first. */
 		priority: number;
-		/** Aborted when the request is to yield its slot. */
+		/** Aborted when the request must yield its slot. */
 		yieldSignal: AbortSignal;
 	}
 	| {kind: 'shed'; reason: ShedReason; retryAfter: Milliseconds}
-	/** The host took the request back before it was granted. */
+	/** The host withdrew the request before it was granted a slot. */
 	| {kind: 'withdrawn'};
 
-/** What an ask may carry beside the request. */
+/** Options of one attempt to get a slot for a request. */
 export type AskOptions = {
-	/** Rises by one each time the request asks again; 1 if absent. */
+	/** Number of the attempt, which rises by one each time the request asks for a slot again; 1 if absent. */
 	attempt?: number;
-	/** Upstreams that the request must not go to again. */
+	/** Upstreams that the request must not be sent to again. */
 	avoid?: UpstreamId[];
-	/** True to run alone among suspects. */
+	/** True if the request must not run on an upstream together with another suspected of crashing upstreams. */
 	isolated?: boolean;
-	/** How often the request has yielded. */
+	/** Number of times that the request has yielded its slot; 0 if absent. */
 	yields?: number;
 	/** True once part of the answer has reached the caller. */
 	resumed?: boolean;
-	/** Bytes that the request holds while it waits. */
+	/** Memory that the request takes up while it waits. */
 	bytes?: number;
 };
 
-/** What a client of grants needs. */
+/** Options of a grant client. */
 export type GrantClientOptions = {
 	clock: Clock;
 	random: Random;
@@ -44,70 +44,73 @@
 	self: HostId;
 	incarnation: Incarnation;
 	peers: Pick<PeerCalls, 'exchangeGrants'>;
-	/** Host that owns a group by this host's view. */
+	/** Returns the host that owns a group in this host's view. */
 	getOwnerOf: (group: GroupId) => HostId | undefined;
 	getLocalOwner: () => GroupOwner;
-	/** Groups of the configuration in force. */
+	/** Returns the groups of the current configuration. */
 	getGroups: () => readonly Group[];
 	order?: Settings['order'];
 	without?: readonly Mechanism[];
 };
 
-/** Asks the owners of groups for upstreams. */
+/** Requests upstream slots from the owners of groups. */
 export type GrantClient = {
-	/** Resolves once the request may go to an upstream, or is refused. */
+	/** Requests a slot; resolves once the request is granted one, shed or withdrawn. */
 	ask: (request: ClassifiedRequest, options?: AskOptions) => Promise<Grant>;
-	/** Tells how a granted request's attempt ended, and gives its slot back. */
+	/** Reports how an attempt that was granted a slot ended, and frees the slot. */
 	end: (end: TicketEnd) => void;
-	/** Takes back a request that waits, for example when its caller has gone. */
+	/** Withdraws a waiting request, for example when its caller has disconnected. */
 	withdraw: (request: RequestId) => void;
-	/** Takes in decisions that an owner pushes. */
+	/** Applies the decisions that an owner has pushed. */
 	receive: (answer: GrantAnswer) => void;
-	/** Requests that wait and run. */
+	/** Returns the numbers of waiting and running requests, and the memory that the waiting ones take up. */
 	getCounts: () => {waiting: number; running: number; bytes: number};
 	stop: () => void;
 };
 
 /** A request that waits or runs at this host. */
-export type Pending = {
+export type HeldRequest = {
 	ticket: Ticket;
 	group: GroupId;
 	rank: Rank;
 	bytes: number;
-	/** Monotonic. */
+	/** By the monotonic clock. */
 	askedAt: Milliseconds;
-	/** Monotonic. */
+	/** By the monotonic clock. */
 	deadline: Milliseconds;
-	/** Absent while it waits. */
+	/** Absent while the request waits. */
 	upstream?: UpstreamId;
-	/** True once it has gone to a second group. */
-	moved: boolean;
+	/** True once the request has been moved to a second group. */
+	hasMoved: boolean;
+	/** Resolves the promise that the caller waits for. */
 	resolve: (grant: Grant) => void;
-	yielding: AbortController;
+	/** Aborts the yield signal of the grant. */
+	yieldController: AbortController;
 };
 
-/** How this host reaches the order of a group. */
-export type LineMode = 'owner' | 'alone';
+/** Who grants this host the slots of a group: `owner` is the group's owner; `alone`, in degraded mode, this host itself. */
+export type SessionMode = 'owner' | 'alone';
 
-/** This host's exchange with the owner of one group. */
-export type Line = {
+/** State of this host's exchange of messages with the owner of one group. */
+export type GroupSession = {
 	group: GroupId;
-	/** Owner that knows this host's tickets. */
+	/** Owner that the last batch was sent to; undefined before the first batch and after a failure. */
 	owner: HostId | undefined;
-	mode: LineMode;
-	/** Tickets to send. */
-	asks: Set<Pending>;
-	/** Ends to send. */
-	ends: TicketEnd[];
-	pending: Map<RequestId, Pending>;
+	mode: SessionMode;
+	/** Requests whose tickets are to be sent. */
+	unsentRequests: Set<HeldRequest>;
+	/** Ends of attempts that are to be sent. */
+	unsentEnds: TicketEnd[];
+	heldRequests: Map<RequestId, HeldRequest>;
+	/** Sequence number of the last batch. */
 	sequence: number;
-	/** Exchanges under way. */
+	/** Exchanges in flight. */
 	inFlight: number;
-	failures: number;
-	/** Monotonic; no exchange before this moment. */
+	consecutiveFailures: number;
+	/** Time by the monotonic clock before which no exchange is started. */
 	notBefore: Milliseconds;
-	/** Monotonic moment of the next message that names all held tickets. */
-	heartbeatAt: Milliseconds;
-	/** Whether held tickets are sent whole. */
-	sendsTickets: boolean;
+	/** Time by the monotonic clock of the next heartbeat, a message that names all held requests. */
+	nextHeartbeatAt: Milliseconds;
+	/** Whether the next heartbeat includes the tickets of held requests, since the owner doesn't know them. */
+	includesTickets: boolean;
 };
