--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -4,7 +4,7 @@
 } from '@gentianlift/types';
 import {type Entry, type GroupState} from '../state.js';
 import {
-	addRunningEntry, addWaitingEntry, recordEndedAttempt, type TicketOrigin, removeEntry, addDecision, addGrant,
+	addDecision, addGrant, addRunningEntry, addWaitingEntry, recordEndedAttempt, removeEntry, type TicketOrigin,
 } from './entries.js';
 import {applyCrashOutcome} from './crash.js';
 import {updateEstimates} from './update-estimates.js';
--- a/packages/scheduler/src/owner/commands/shed.ts
+++ b/packages/scheduler/src/owner/commands/shed.ts
@@ -2,9 +2,9 @@
 import type {Milliseconds, ShedReason, Ticket} from '@gentianlift/types';
 import {getCandidates} from '../queries/candidates.js';
 import {
-	getConservativeTimeToTarget, getExpectedServiceTime, getCapacityForecast, getTimeToTarget, getExpectedWait, hasEnoughSamples,
+	getCapacityForecast, getConservativeTimeToTarget, getExpectedServiceTime, getExpectedWait, getTimeToTarget, hasEnoughSamples,
 } from '../queries/forecast.js';
-import {getGrantOrder, getExpectedWaits} from '../queries/grant-order.js';
+import {getExpectedWaits, getGrantOrder} from '../queries/grant-order.js';
 import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
 import {shed} from './entries.js';
 
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -10,7 +10,7 @@
 import {applyMessage} from './commands/messages.js';
 import {grantFreeSlots, runPass, runPassIfDue} from './commands/run-pass.js';
 import {createGroupState, updateGroupState} from './create-group-state.js';
-import {getGrantOrder, getExpectedWaits} from './queries/grant-order.js';
+import {getExpectedWaits, getGrantOrder} from './queries/grant-order.js';
 import {getGroupOverview, type GroupOverview} from './queries/overview.js';
 import type {
 	GroupState, Mechanism, OwnerContext, Standing, UpstreamState,
--- a/packages/scheduler/src/owner/queries/grant-order.ts
+++ b/packages/scheduler/src/owner/queries/grant-order.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
 import {getPrecedence} from './precedence.js';
-import {getExpectedServiceTime, getCapacityForecast, getExpectedWait} from './forecast.js';
+import {getCapacityForecast, getExpectedServiceTime, getExpectedWait} from './forecast.js';
 
 /** Returns the waiting entries of a group in the order in which they are expected to be granted slots. */
 export const getGrantOrder = (state: GroupState): Entry[] => {
--- a/packages/scheduler/src/quota/create-quota-client.ts
+++ b/packages/scheduler/src/quota/create-quota-client.ts
@@ -4,22 +4,23 @@
 	HostId, Milliseconds, PeerCalls, PeerOutcome, QuotaAnswer, QuotaRequest,
 } from '@gentianlift/types';
 import type {QuotaOwner} from './create-quota-owner.js';
-import {getLimitKey, type Limit} from './limits.js';
+import {getQuotaKey, type Limit} from './limits.js';
 import {
-	applyAlone, applyShare, applyTime, createMeter, getRetryAfter, getWish, hasRoom, isRefused, type Meter, take,
+	advanceMeter, applyFallbackShare, applyShare, createMeter, getDemand, getRetryAfter, hasRoom, isRefused, type Meter, recordUse,
 } from './meter.js';
 
-/** Interval of exchanges with the owner of levels in use. */
+/** Interval at which a host renews the share of a level that is in use, or reports the debt of a rate. */
 export const renewInterval: Milliseconds = 2000;
-/** Interval at which a host gives back what it doesn't need of small levels. */
-const returnInterval: Milliseconds = 500;
-/** Exchanges of others that a request waits for before its own. */
-const mostTurns = 4;
-/** A level with fewer for each host than this is small. */
-const smallShare = 4;
-const unusedExpiry: Milliseconds = 30_000;
-
-/** What a client of limits needs. */
+/** Interval at which a host checks which shares to renew or return; unused shares of small levels are returned this often. */
+const renewCheckInterval: Milliseconds = 500;
+/** Maximum number of exchanges that a request waits for. */
+const maxExchangeRounds = 4;
+/** A level is small if an even share of it per host is less than this. */
+const smallLevelPerHost = 4;
+/** Meters that haven't been used for this long are dropped. */
+const unusedMeterExpiry: Milliseconds = 30_000;
+
+/** Options of a quota client. */
 export type QuotaClientOptions = {
 	clock: Clock;
 	metrics: Metrics;
@@ -31,50 +32,50 @@
 	getLimits: () => ReadonlyMap<string, Limit>;
 };
 
-/** An amount of a limit. */
-export type Amount = {limit: string; amount: number};
+/** An amount to be taken from a limit. */
+export type LimitAmount = {limit: string; amount: number};
 
 /** Whether a request stays within its customer's limits. */
 export type QuotaDecision = {kind: 'allowed'} | {kind: 'refused'; limit: string; retryAfter: Milliseconds};
 
-/** Keeps a host within its shares of the customers' limits. */
+/** Keeps a host within its shares of the limits of customers. */
 export type QuotaClient = {
-	/** Takes all amounts or none. */
-	acquire: (amounts: readonly Amount[]) => Promise<QuotaDecision>;
-	/** Counts use that was not known before, such as the tokens of an answer. */
+	/** Takes all amounts, or none if one exceeds its limit. */
+	acquire: (amounts: readonly LimitAmount[]) => Promise<QuotaDecision>;
+	/** Records use that becomes known only afterwards, such as the tokens of an answer. */
 	use: (limit: string, amount: number) => void;
-	/** Gives back an amount of a limit on things under way. */
+	/** Releases an amount of a level. */
 	release: (limit: string, amount: number) => void;
 	stop: () => void;
 };
 
-/** Creates the client of limits of this host. */
-export const createQuotaClient = (options: QuotaClientOptions): QuotaClient => new SharedQuota(options);
+/** Creates this host's quota client. */
+export const createQuotaClient = (options: QuotaClientOptions): QuotaClient => new SharedQuotaClient(options);
 
-class SharedQuota implements QuotaClient {
+class SharedQuotaClient implements QuotaClient {
 	readonly #options: QuotaClientOptions;
 	readonly #meters = new Map<string, Meter>();
-	readonly #underWay = new Map<string, Promise<void>>();
+	readonly #inFlight = new Map<string, Promise<void>>();
 	readonly #cancel: () => void;
 
 	constructor(options: QuotaClientOptions) {
 		this.#options = options;
 		const {every} = options.clock;
-		this.#cancel = every(returnInterval, () => {
+		this.#cancel = every(renewCheckInterval, () => {
 			this.#renew();
 		});
 	}
 
-	readonly acquire = async (amounts: readonly Amount[]): Promise<QuotaDecision> => {
-		for (let turns = 1; ; turns++) {
-			// eslint-disable-next-line no-await-in-loop -- Another request may have taken what this one waited for.
+	readonly acquire = async (amounts: readonly LimitAmount[]): Promise<QuotaDecision> => {
+		for (let rounds = 1; ; rounds++) {
+			// eslint-disable-next-line no-await-in-loop -- Another request may have taken the share that this one waited for.
 			const refused = await this.#tryAcquire(amounts);
 			if (refused === undefined) {
 				return {kind: 'allowed'};
 			}
 
 			const meter = this.#getMeter(refused.limit);
-			if (turns >= mostTurns || this.#now() < meter.emptyUntil) {
+			if (rounds >= maxExchangeRounds || this.#now() < meter.exhaustedUntil) {
 				this.#options.metrics.count('quota_refusals', {limit: refused.limit.split(':')[0] ?? ''});
 				return {kind: 'refused', limit: refused.limit, retryAfter: getRetryAfter(meter, this.#now())};
 			}
@@ -82,26 +83,26 @@
 	};
 
 	readonly use = (limit: string, amount: number): void => {
-		take(this.#getMeter(limit), amount, this.#now());
+		recordUse(this.#getMeter(limit), amount, this.#now());
 	};
 
 	readonly release = (limit: string, amount: number): void => {
 		const meter = this.#getMeter(limit);
-		meter.held = Math.max(0, meter.held - amount);
+		meter.inUse = Math.max(0, meter.inUse - amount);
 	};
 
 	readonly stop = (): void => {
 		this.#cancel();
 	};
 
-	/** Takes all amounts, or returns one that there is no room for. */
-	async #tryAcquire(amounts: readonly Amount[]): Promise<Amount | undefined> {
-		const waitedFor = await this.#prepare(amounts);
-		this.#addPending(waitedFor, -1);
+	/** Takes all amounts, or returns one that doesn't fit this host's share. */
+	async #tryAcquire(amounts: readonly LimitAmount[]): Promise<LimitAmount | undefined> {
+		const requested = await this.#requestShares(amounts);
+		this.#addPending(requested, -1);
 		const now = this.#now();
 		const refused = amounts.find(({limit, amount}) => isRefused(this.#getMeter(limit), amount, now));
 		for (const {limit, amount} of refused === undefined ? amounts : []) {
-			take(this.#getMeter(limit), amount, now);
+			recordUse(this.#getMeter(limit), amount, now);
 		}
 
 		return refused;
@@ -115,7 +116,7 @@
 		const now = this.#now();
 		const meter = this.#meters.get(limit) ?? createMeter(this.#getLimit(limit), now);
 		this.#meters.set(limit, meter);
-		applyTime(meter, now);
+		advanceMeter(meter, now);
 		return meter;
 	}
 
@@ -123,58 +124,58 @@
 		return this.#options.getLimits().get(limit) ?? {name: limit, kind: 'rate', amount: 0};
 	}
 
-	/** Gets a larger share of what this host lacks, and returns that; the limits of one owner go in one message. */
-	async #prepare(amounts: readonly Amount[]): Promise<Amount[]> {
+	/** Requests larger shares of the limits that this host lacks, and returns those amounts. Limits of the same owner go in one message. */
+	async #requestShares(amounts: readonly LimitAmount[]): Promise<LimitAmount[]> {
 		const now = this.#now();
 		const lacking = amounts.filter(({limit, amount}) => {
 			const meter = this.#getMeter(limit);
-			return now >= meter.emptyUntil && !hasRoom(meter, amount, now);
+			return now >= meter.exhaustedUntil && !hasRoom(meter, amount, now);
 		});
-		const keys = new Set(lacking.map(({limit}) => getLimitKey(limit)));
+		const keys = new Set(lacking.map(({limit}) => getQuotaKey(limit)));
 		this.#addPending(lacking, 1);
 		await Promise.all([...keys].map(async key => this.#exchangeInTurn(key, lacking)));
 		return lacking;
 	}
 
-	/** Counts what requests wait for, so that one exchange asks for all of them. */
-	#addPending(amounts: readonly Amount[], sign: 1 | -1): void {
+	/** Adds or subtracts the amounts that requests wait for, so that one exchange asks for all of them. */
+	#addPending(amounts: readonly LimitAmount[], sign: 1 | -1): void {
 		for (const {limit, amount} of amounts) {
-			this.#getMeter(limit).pending += sign * amount;
+			this.#getMeter(limit).pendingAmount += sign * amount;
 		}
 	}
 
-	/** Whether the share is too small for all requests that wait for it. */
-	#lacksPending(limit: string): boolean {
+	/** Whether the share of a limit is too small for the requests that wait for it. */
+	#lacksShare(limit: string): boolean {
 		const now = this.#now();
 		const meter = this.#getMeter(limit);
-		return now >= meter.emptyUntil && !hasRoom(meter, meter.pending, now);
+		return now >= meter.exhaustedUntil && !hasRoom(meter, meter.pendingAmount, now);
 	}
 
-	/** Waits for exchanges under way for the same owner's key, then asks for what is still lacking. */
-	async #exchangeInTurn(key: string, amounts: readonly Amount[]): Promise<void> {
-		for (let turns = 0; this.#underWay.has(key) && turns < mostTurns; turns++) {
+	/** Waits for exchanges in flight for the same key, then requests what is still lacking. */
+	async #exchangeInTurn(key: string, amounts: readonly LimitAmount[]): Promise<void> {
+		for (let rounds = 0; this.#inFlight.has(key) && rounds < maxExchangeRounds; rounds++) {
 			// eslint-disable-next-line no-await-in-loop -- One exchange after another.
-			await this.#underWay.get(key);
+			await this.#inFlight.get(key);
 		}
 
-		const lacking = amounts.filter(({limit}) => getLimitKey(limit) === key && this.#lacksPending(limit));
-		if (lacking.length === 0 || this.#underWay.has(key)) {
+		const lacking = amounts.filter(({limit}) => getQuotaKey(limit) === key && this.#lacksShare(limit));
+		if (lacking.length === 0 || this.#inFlight.has(key)) {
 			return;
 		}
 
 		const exchange = this.#exchange(key, lacking);
-		this.#underWay.set(key, exchange);
+		this.#inFlight.set(key, exchange);
 		await exchange;
-		this.#underWay.delete(key);
+		this.#inFlight.delete(key);
 	}
 
-	async #exchange(key: string, amounts: readonly Amount[]): Promise<void> {
-		const wishes = amounts.map(({limit}) => getWish(this.#getMeter(limit)));
-		const outcome = await this.#call(key, {host: this.#options.self, limits: wishes});
+	async #exchange(key: string, amounts: readonly LimitAmount[]): Promise<void> {
+		const demands = amounts.map(({limit}) => getDemand(this.#getMeter(limit)));
+		const outcome = await this.#call(key, {host: this.#options.self, limits: demands});
 		const now = this.#now();
 		if (outcome.kind === 'answered' && outcome.answer.owner) {
 			for (const share of outcome.answer.shares) {
-				applyShare(this.#getMeter(share.limit), share, wishes.find(({limit}) => limit === share.limit) ?? {used: 0, wanted: 0}, now);
+				applyShare(this.#getMeter(share.limit), share, demands.find(({limit}) => limit === share.limit) ?? {used: 0, wanted: 0}, now);
 			}
 
 			return;
@@ -182,7 +183,7 @@
 
 		this.#options.metrics.count('quota_exchange_failures', {kind: outcome.kind === 'answered' ? 'not-owner' : outcome.kind});
 		for (const {limit} of amounts) {
-			applyAlone(this.#getMeter(limit), this.#getEvenShare(limit), now);
+			applyFallbackShare(this.#getMeter(limit), this.#getEvenShare(limit), now);
 		}
 	}
 
@@ -196,20 +197,20 @@
 		return owner === self ? {kind: 'answered', answer: getLocalOwner().handle(self, message)} : peers.exchangeQuota(owner, message);
 	}
 
-	/** Renews the levels in use, gives back, tells debts, and forgets what isn't used. */
+	/** Renews the levels in use, returns unneeded shares, reports debts, and drops unused meters. */
 	#renew(): void {
 		const now = this.#now();
-		const due = new Map<string, Amount[]>();
+		const due = new Map<string, LimitAmount[]>();
 		for (const [limit, meter] of this.#meters) {
-			if (meter.held === 0 && now - meter.usedAt > unusedExpiry) {
+			if (meter.inUse === 0 && now - meter.lastUsedAt > unusedMeterExpiry) {
 				this.#meters.delete(limit);
 			} else if (this.#isDue(meter, now)) {
-				due.set(getLimitKey(limit), [...due.get(getLimitKey(limit)) ?? [], {limit, amount: 0}]);
+				due.set(getQuotaKey(limit), [...due.get(getQuotaKey(limit)) ?? [], {limit, amount: 0}]);
 			}
 		}
 
 		for (const [key, amounts] of due) {
-			if (!this.#underWay.has(key)) {
+			if (!this.#inFlight.has(key)) {
 				void this.#exchange(key, amounts);
 			}
 		}
@@ -217,12 +218,12 @@
 
 	#isDue(meter: Meter, now: Milliseconds): boolean {
 		if (meter.kind === 'rate') {
-			return meter.allowed < 0 && now - meter.answeredAt >= renewInterval;
+			return meter.allowed < 0 && now - meter.lastAnswerAt >= renewInterval;
 		}
 
-		const isSmall = this.#getEvenShare(meter.name) < smallShare;
-		const isSpare = isSmall && meter.allowed > meter.held && now < meter.expiresAt;
-		return isSpare || (meter.held > 0 && now - meter.answeredAt >= renewInterval);
+		const isSmall = this.#getEvenShare(meter.name) < smallLevelPerHost;
+		const hasSpare = isSmall && meter.allowed > meter.inUse && now < meter.expiresAt;
+		return hasSpare || (meter.inUse > 0 && now - meter.lastAnswerAt >= renewInterval);
 	}
 
 	#getEvenShare(limit: string): number {
--- a/packages/scheduler/src/quota/create-retry-budgets.ts
+++ b/packages/scheduler/src/quota/create-retry-budgets.ts
@@ -1,32 +1,32 @@
 import type {ClassName} from '@gentianlift/types';
 
-/** Retries that a host saves up at most for a class. */
-const mostSaved = 10;
-/** Retries of a class that a host may make before it has had requests of it. */
-const firstRetries = 1;
+/** Maximum balance of a class's retry budget at one host. */
+const maxSavedRetries = 10;
+/** Retries of a class that a host may make before it has received requests of the class. */
+const initialRetries = 1;
 
 /**
- * Retry budgets by class. Each request adds the class's share of a retry, each retry takes one.
- * As every host keeps to the share of its own requests, all hosts together keep to the share of all,
- * beyond it at most `firstRetries` for each host; no message is needed.
+ * Retry budgets by class. Each request adds a fraction of a retry, the class's retry share; each retry takes one.
+ * As every host keeps its retries within that fraction of its own requests, so do all hosts together without messages,
+ * apart from at most `initialRetries` per host.
  */
 export type RetryBudgets = {
-	/** Counts a new request of a class. */
+	/** Adds a new request of a class to its budget. */
 	applyRequest: (className: ClassName, retryShare: number) => void;
-	/** Whether a retry is left. */
+	/** Whether the budget of a class allows a retry. */
 	hasRetry: (className: ClassName) => boolean;
-	/** Takes a retry; false when none is left. */
+	/** Takes a retry from the budget of a class; false if it allows none. */
 	takeRetry: (className: ClassName) => boolean;
 };
 
-/** Creates full budgets. */
+/** Creates budgets that hold the initial retries. */
 export const createRetryBudgets = (): RetryBudgets => {
-	const saved = new Map<ClassName, number>();
-	const getSaved = (className: ClassName): number => saved.get(className) ?? firstRetries;
-	const hasRetry = (className: ClassName): boolean => getSaved(className) >= 1;
+	const balances = new Map<ClassName, number>();
+	const getBalance = (className: ClassName): number => balances.get(className) ?? initialRetries;
+	const hasRetry = (className: ClassName): boolean => getBalance(className) >= 1;
 	return {
 		applyRequest(className, retryShare) {
-			saved.set(className, Math.min(mostSaved, getSaved(className) + retryShare));
+			balances.set(className, Math.min(maxSavedRetries, getBalance(className) + retryShare));
 		},
 		hasRetry,
 		takeRetry(className) {
@@ -34,7 +34,7 @@
 				return false;
 			}
 
-			saved.set(className, getSaved(className) - 1);
+			balances.set(className, getBalance(className) - 1);
 			return true;
 		},
 	};
--- a/packages/scheduler/src/quota/limits.ts
+++ b/packages/scheduler/src/quota/limits.ts
@@ -1,18 +1,18 @@
 import type {Configuration, CustomerId} from '@gentianlift/types';
 
-/** How a shared limit is counted: as a rate a second, or as a level of things under way. */
+/** A limit that all hosts share: a rate per second, or a level, which bounds how much is in use at one time. */
 export type Limit = {name: string; kind: 'rate' | 'level'; amount: number};
 
-/** Name of a customer's limit of requests a second. */
+/** Returns the name of a customer's limit of requests per second. */
 export const getRequestLimit = (customer: CustomerId): string => `requests:${customer}`;
 
-/** Name of a customer's limit of tokens a second. */
+/** Returns the name of a customer's limit of tokens per second. */
 export const getTokenLimit = (customer: CustomerId): string => `tokens:${customer}`;
 
-/** Name of a customer's limit of requests under way. */
+/** Returns the name of a customer's limit of concurrent requests. */
 export const getConcurrencyLimit = (customer: CustomerId): string => `concurrency:${customer}`;
 
-/** Gets the limits of all customers by name. */
+/** Returns the limits of all customers, by name. */
 export const getLimits = ({inventory}: Configuration): Map<string, Limit> => {
 	const limits = inventory.customers.flatMap(({id, limits: {requestsPerSecond, tokensPerSecond, concurrency}}): Limit[] => [
 		{name: getRequestLimit(id), kind: 'rate', amount: requestsPerSecond},
@@ -22,5 +22,5 @@
 	return new Map(limits.map(limit => [limit.name, limit]));
 };
 
-/** Gets the key whose owner shares a limit out; all limits of a customer have the same. */
-export const getLimitKey = (limit: string): string => `quota:${limit.slice(limit.indexOf(':') + 1)}`;
+/** Returns the key whose owner allocates a limit; all limits of a customer have the same key. */
+export const getQuotaKey = (limit: string): string => `quota:${limit.slice(limit.indexOf(':') + 1)}`;
--- a/packages/scheduler/src/quota/meter.ts
+++ b/packages/scheduler/src/quota/meter.ts
@@ -2,50 +2,50 @@
 import type {Limit} from './limits.js';
 
 const second: Milliseconds = 1000;
-const leastWait: Milliseconds = 1000;
-/** Use over this time is asked for in advance. */
-const horizon: Milliseconds = 1000;
-/** Time before a host asks again for a level of which nothing was left. */
-const levelPause: Milliseconds = 20;
-/** How long the last rate stands while the owner can't be reached. */
-const lastRateDuration: Milliseconds = 10_000;
+const minRetryAfter: Milliseconds = 1000;
+/** Time over which use is averaged, for which it is requested in advance, and for which a fallback share lasts. */
+const usageWindow: Milliseconds = 1000;
+/** Delay before a host asks again for a level that was exhausted. */
+const levelRetryDelay: Milliseconds = 20;
+/** How long after the owner's last answer a host may go on using a limit at its own last rate. */
+const lastRateExpiry: Milliseconds = 10_000;
 
-/** A host's use of its share of a limit. */
+/** A host's share of a limit and its use. */
 export type Meter = {
 	name: string;
 	kind: Limit['kind'];
-	/** What the host may use: of a rate, the amount left; of a level, all that may be under way. */
+	/** Amount that the host may use: of a rate, what is left; of a level, the maximum in use at one time. */
 	allowed: number;
 	expiresAt: Milliseconds;
-	/** Things under way, of a level. */
-	held: number;
-	/** Amounts that requests wait for. */
-	pending: number;
-	/** Use a second, as a moving mean. */
-	rate: number;
-	/** Moment up to which the rate is counted. */
-	countedTo: Milliseconds;
-	/** Use since then. */
-	used: number;
-	/** The owner has none left before this moment. */
-	emptyUntil: Milliseconds;
-	/** Moment of the last answer of the owner; 0 before the first. */
-	answeredAt: Milliseconds;
-	usedAt: Milliseconds;
+	/** Amount of a level that is in use. */
+	inUse: number;
+	/** Amount that waiting requests need. */
+	pendingAmount: number;
+	/** Use per second, as a moving average. */
+	usageRate: number;
+	/** Time up to which `usageRate` is computed. */
+	measuredUntil: Milliseconds;
+	/** Use since `measuredUntil`. */
+	recentUse: number;
+	/** Time before which the owner has nothing left to allocate. */
+	exhaustedUntil: Milliseconds;
+	/** Time of the owner's last answer; 0 before the first. */
+	lastAnswerAt: Milliseconds;
+	lastUsedAt: Milliseconds;
 };
 
-/** Creates a meter of which the owner hasn't heard yet. */
+/** Creates a meter without a share. */
 export const createMeter = ({name, kind}: Limit, now: Milliseconds): Meter => ({
-	name, kind, allowed: 0, expiresAt: 0, held: 0, pending: 0, rate: 0, countedTo: now, used: 0, emptyUntil: 0, answeredAt: 0, usedAt: now,
+	name, kind, allowed: 0, expiresAt: 0, inUse: 0, pendingAmount: 0, usageRate: 0, measuredUntil: now, recentUse: 0, exhaustedUntil: 0, lastAnswerAt: 0, lastUsedAt: now,
 });
 
-/** Drops a share that has ended. A debt stays, and so does a level's share: what is under way is under way. */
-export const applyTime = (meter: Meter, now: Milliseconds): void => {
-	const elapsed = now - meter.countedTo;
-	if (elapsed >= horizon) {
-		meter.rate = (meter.rate + (meter.used / elapsed * second)) / 2;
-		meter.used = 0;
-		meter.countedTo = now;
+/** Updates the usage rate, and drops the expired share of a rate. A debt stays, and so does the share of a level, since it may still be in use. */
+export const advanceMeter = (meter: Meter, now: Milliseconds): void => {
+	const elapsed = now - meter.measuredUntil;
+	if (elapsed >= usageWindow) {
+		meter.usageRate = (meter.usageRate + (meter.recentUse / elapsed * second)) / 2;
+		meter.recentUse = 0;
+		meter.measuredUntil = now;
 	}
 
 	if (now >= meter.expiresAt && meter.kind === 'rate') {
@@ -53,61 +53,61 @@
 	}
 };
 
-/** Whether an amount stays within the share. Asking for nothing needs a share that isn't used up. */
+/** Whether an amount fits the share. An amount of 0 of a rate fits only if the share isn't used up. */
 export const hasRoom = (meter: Meter, amount: number, now: Milliseconds): boolean =>
-	meter.kind === 'level' ? meter.held + amount <= meter.allowed && now < meter.expiresAt : meter.allowed >= Math.max(1, amount);
+	meter.kind === 'level' ? meter.inUse + amount <= meter.allowed && now < meter.expiresAt : meter.allowed >= Math.max(1, amount);
 
-/** Whether an amount can't be taken. Nothing can be taken from a rate until its owner has none left, whatever this host's share. */
+/** Whether an amount must be refused. An amount of 0 of a rate is refused only once the owner has nothing left, even if this host's share is used up. */
 export const isRefused = (meter: Meter, amount: number, now: Milliseconds): boolean =>
-	meter.kind === 'rate' && amount === 0 ? now < meter.emptyUntil && meter.allowed < 1 : !hasRoom(meter, amount, now);
+	meter.kind === 'rate' && amount === 0 ? now < meter.exhaustedUntil && meter.allowed < 1 : !hasRoom(meter, amount, now);
 
-/** Counts use; a rate may go into debt, which the owner then takes from everybody's. */
-export const take = (meter: Meter, amount: number, now: Milliseconds): void => {
-	meter.used += amount;
-	meter.usedAt = now;
+/** Records use. A rate may go into debt, which the owner then deducts from the amount left for all hosts. */
+export const recordUse = (meter: Meter, amount: number, now: Milliseconds): void => {
+	meter.recentUse += amount;
+	meter.lastUsedAt = now;
 	if (meter.kind === 'level') {
-		meter.held += amount;
+		meter.inUse += amount;
 	} else {
 		meter.allowed -= amount;
 	}
 };
 
-/** Gets what to ask the owner for. */
-export const getWish = (meter: Meter): {limit: string; used: number; wanted: number} => meter.kind === 'level'
-	? {limit: meter.name, used: meter.held, wanted: meter.held + meter.pending}
-	: {limit: meter.name, used: Math.max(0, -meter.allowed), wanted: Math.ceil(Math.max(1, meter.pending + (meter.rate * horizon / second)) - Math.max(0, meter.allowed))};
+/** Returns the meter's use and demand for a request to the owner. */
+export const getDemand = (meter: Meter): {limit: string; used: number; wanted: number} => meter.kind === 'level'
+	? {limit: meter.name, used: meter.inUse, wanted: meter.inUse + meter.pendingAmount}
+	: {limit: meter.name, used: Math.max(0, -meter.allowed), wanted: Math.ceil(Math.max(1, meter.pendingAmount + (meter.usageRate * usageWindow / second)) - Math.max(0, meter.allowed))};
 
-/** Takes in the owner's answer. An answer of nothing says when to ask again. */
-export const applyShare = (meter: Meter, share: {allowed: number; duration: Milliseconds}, asked: {used: number; wanted: number}, now: Milliseconds): void => {
-	meter.answeredAt = now;
+/** Applies the owner's answer. An answer that allows nothing tells when to ask again. */
+export const applyShare = (meter: Meter, share: {allowed: number; duration: Milliseconds}, demand: {used: number; wanted: number}, now: Milliseconds): void => {
+	meter.lastAnswerAt = now;
 	if (meter.kind === 'level') {
 		meter.allowed = share.allowed;
 		meter.expiresAt = now + share.duration;
-		meter.emptyUntil = share.allowed < asked.wanted ? now + levelPause : 0;
+		meter.exhaustedUntil = share.allowed < demand.wanted ? now + levelRetryDelay : 0;
 		return;
 	}
 
-	meter.allowed += share.allowed + asked.used;
+	meter.allowed += share.allowed + demand.used;
 	if (share.allowed > 0) {
 		meter.expiresAt = now + share.duration;
 	} else {
-		meter.emptyUntil = now + share.duration;
+		meter.exhaustedUntil = now + share.duration;
 	}
 };
 
-/** Lets a host go on without the owner: at its last rate for a while, then at an even share of the limit. */
-export const applyAlone = (meter: Meter, evenShare: number, now: Milliseconds): void => {
+/** Sets a fallback share while the owner can't be reached: at the host's last rate for a while, then an even share of the limit. */
+export const applyFallbackShare = (meter: Meter, evenShare: number, now: Milliseconds): void => {
 	if (meter.kind === 'level') {
 		meter.allowed = Math.max(1, Math.floor(evenShare));
-		meter.expiresAt = now + horizon;
+		meter.expiresAt = now + usageWindow;
 		return;
 	}
 
-	const rate = now - meter.answeredAt < lastRateDuration ? Math.max(meter.rate, evenShare) : evenShare;
-	meter.allowed = Math.min(0, meter.allowed) + (rate * horizon / second);
-	meter.expiresAt = now + horizon;
-	meter.emptyUntil = now + horizon;
+	const rate = now - meter.lastAnswerAt < lastRateExpiry ? Math.max(meter.usageRate, evenShare) : evenShare;
+	meter.allowed = Math.min(0, meter.allowed) + (rate * usageWindow / second);
+	meter.expiresAt = now + usageWindow;
+	meter.exhaustedUntil = now + usageWindow;
 };
 
-/** Gets the time after which a refused amount may be free. */
-export const getRetryAfter = (meter: Meter, now: Milliseconds): Milliseconds => Math.max(leastWait, meter.emptyUntil - now);
+/** Returns the time after which a refused amount may be available. */
+export const getRetryAfter = (meter: Meter, now: Milliseconds): Milliseconds => Math.max(minRetryAfter, meter.exhaustedUntil - now);
--- a/packages/scheduler/src/quota/quota.test.ts
+++ b/packages/scheduler/src/quota/quota.test.ts
@@ -3,7 +3,7 @@
 import {createManualClock, createRandom, type ManualClock} from '@gentianlift/clock';
 import {createMetrics} from '@gentianlift/metrics';
 import type {HostId} from '@gentianlift/types';
-import {createBucket, getLevelShare, takeFromBucket} from './share-out.js';
+import {createBucket, getLevelShare, takeFromBucket} from './allocation.js';
 import {
 	createQuotaClient, createQuotaOwner, createRetryBudgets, type Limit, type QuotaClient, type QuotaOwner,
 } from './index.js';
