--- a/packages/scheduler/src/quota/quota.test.ts
+++ b/packages/scheduler/src/quota/quota.test.ts
@@ -9,12 +9,12 @@
 } from './index.js';
 
 type Host = {id: HostId; client: QuotaClient; owner: QuotaOwner};
-type Fleet = {clock: ManualClock; hosts: Host[]; cut: Set<HostId>; owner: HostId};
+type Fleet = {clock: ManualClock; hosts: Host[]; partitionedHosts: Set<HostId>; owner: HostId};
 
 const createFleet = (limits: readonly Limit[], count = 7): Fleet => {
 	const clock = createManualClock(1000);
 	const fleet: Fleet = {
-		clock, hosts: [], cut: new Set(), owner: 'h0',
+		clock, hosts: [], partitionedHosts: new Set(), owner: 'h0',
 	};
 	const byName = new Map(limits.map(limit => [limit.name, limit]));
 	fleet.hosts = Array.from({length: count}, (_, index) => createHost(fleet, `h${index}`, byName));
@@ -32,7 +32,7 @@
 		getLocalOwner: () => owner,
 		peers: {
 			async exchangeQuota(to, message) {
-				if (fleet.cut.has(to) || fleet.cut.has(id)) {
+				if (fleet.partitionedHosts.has(to) || fleet.partitionedHosts.has(id)) {
 					return {kind: 'unreachable', reason: 'cut'};
 				}
 
@@ -44,7 +44,7 @@
 	return {id, client, owner};
 };
 
-/** Tries `rate` requests a second at each of some hosts, and returns how many were allowed. */
+/** Sends `rate` requests per second to each of the given hosts, and returns how many were allowed. */
 const tryRate = async (fleet: Fleet, hosts: readonly Host[], rate: number, seconds: number): Promise<number> => {
 	let allowed = 0;
 	const tryOne = async (host: Host): Promise<void> => {
@@ -64,16 +64,16 @@
 	return allowed;
 };
 
-/** Takes one of a level at each host in turn, and returns how many were allowed. */
-const takeLevels = async (fleet: Fleet, rounds: number): Promise<number> => {
+/** Acquires 1 of a level at each host in turn, and returns how many were allowed. */
+const acquireLevel = async (fleet: Fleet, rounds: number): Promise<number> => {
 	let held = 0;
-	const takeOne = async (host: Host): Promise<void> => {
+	const acquireOne = async (host: Host): Promise<void> => {
 		const decision = await host.client.acquire([{limit: 'concurrency:c', amount: 1}]);
 		held += decision.kind === 'allowed' ? 1 : 0;
 	};
 
 	for (let round = 0; round < rounds; round++) {
-		void takeOne(fleet.hosts[round % fleet.hosts.length]!);
+		void acquireOne(fleet.hosts[round % fleet.hosts.length]!);
 		// eslint-disable-next-line no-await-in-loop -- Time moves step by step.
 		await fleet.clock.advance(150);
 	}
@@ -83,7 +83,7 @@
 
 const requests: Limit = {name: 'requests:c', kind: 'rate', amount: 70};
 
-test('a rate holds over all hosts, evenly used or not', async () => {
+test('a rate holds across all hosts, whether they use it evenly or not', async () => {
 	for (const count of [1, 7]) {
 		const fleet = createFleet([requests]);
 		const hosts = fleet.hosts.slice(0, count);
@@ -96,11 +96,11 @@
 	}
 });
 
-test('keeps its share while the owner is out of reach, then an even one', async () => {
+test('a host keeps its rate while the owner is unreachable, then falls back to an even share', async () => {
 	const fleet = createFleet([requests]);
 	const hosts = fleet.hosts.slice(1, 2);
 	await tryRate(fleet, hosts, 100, 10);
-	fleet.cut.add('h0');
+	fleet.partitionedHosts.add('h0');
 	expect(await tryRate(fleet, hosts, 100, 5)).toBeGreaterThan(300);
 	await fleet.clock.advance(16_000);
 	const allowed = await tryRate(fleet, hosts, 100, 5);
@@ -108,21 +108,21 @@
 	expect(allowed).toBeLessThan(65);
 });
 
-test('a new owner lets hosts have at most twice the limit', async () => {
+test('after a change of owner, hosts use at most twice the limit', async () => {
 	const fleet = createFleet([requests]);
 	await tryRate(fleet, fleet.hosts, 50, 8);
 	fleet.owner = 'h1';
 	expect(await tryRate(fleet, fleet.hosts, 50, 5)).toBeLessThan(70 * 5 * 2);
 });
 
-test('things under way stay within their limit', async () => {
+test('concurrent requests stay within their limit', async () => {
 	const fleet = createFleet([{name: 'concurrency:c', kind: 'level', amount: 10}]);
-	const held = await takeLevels(fleet, 100);
+	const held = await acquireLevel(fleet, 100);
 	expect(held).toBeGreaterThan(6);
 	expect(held).toBeLessThanOrEqual(10);
 });
 
-test('an answer longer than allowed is paid back before the next', async () => {
+test('the debt of an answer beyond the limit is paid off before the next request is allowed', async () => {
 	const fleet = createFleet([{name: 'tokens:c', kind: 'rate', amount: 100}], 1);
 	const {client} = fleet.hosts[0]!;
 	const acquire = async () => client.acquire([{limit: 'tokens:c', amount: 10}]);
@@ -134,7 +134,7 @@
 	expect(await acquire()).toEqual({kind: 'allowed'});
 });
 
-test('requests that arrive together are all let through', async () => {
+test('requests within the limits that arrive together are all allowed', async () => {
 	const fleet = createFleet([{name: 'requests:c', kind: 'rate', amount: 1000}, {name: 'concurrency:c', kind: 'level', amount: 1000}]);
 	const {client} = fleet.hosts[1]!;
 	const amounts = [{limit: 'requests:c', amount: 1}, {limit: 'concurrency:c', amount: 1}];
@@ -144,21 +144,21 @@
 	expect(decisions.filter(({kind}) => kind === 'refused')).toEqual([]);
 });
 
-test('what a rate gives out is never more than the limit and what it saves up', () => {
+test('a token bucket never allocates more than its rate plus its burst', () => {
 	const wishes = fc.array(fc.record({after: fc.nat(500), used: fc.nat(20), wanted: fc.nat(50)}), {minLength: 1, maxLength: 40});
 	fc.assert(fc.property(wishes, fc.integer({min: 1, max: 100}), (list, amount) => {
-		let [bucket, now, given] = [createBucket(amount, 0), 0, 0];
+		let [bucket, now, allocated] = [createBucket(amount, 0), 0, 0];
 		for (const {after, used, wanted} of list) {
 			now += after;
 			const outcome = takeFromBucket(bucket, amount, {used, wanted}, now);
 			bucket = outcome.bucket;
-			given += outcome.taken;
-			expect(given).toBeLessThanOrEqual(amount + (amount * now / 1000) + 1e-6);
+			allocated += outcome.taken;
+			expect(allocated).toBeLessThanOrEqual(amount + (amount * now / 1000) + 1e-6);
 		}
 	}), {seed: 1});
 });
 
-test('shares of a level never add up to more than the limit', () => {
+test('the shares of a level never add up to more than its limit', () => {
 	const wishes = fc.array(fc.record({host: fc.nat(4), wanted: fc.nat(100)}), {minLength: 1, maxLength: 40});
 	fc.assert(fc.property(wishes, fc.integer({min: 1, max: 100}), (list, amount) => {
 		const shares = new Map<number, number>();
@@ -171,7 +171,7 @@
 	}), {seed: 1});
 });
 
-test('a small limit over many hosts refuses nothing below it', async () => {
+test('a small limit shared by many hosts refuses no request within it', async () => {
 	const fleet = createFleet([{name: 'requests:c', kind: 'rate', amount: 8}, {name: 'concurrency:c', kind: 'level', amount: 15}]);
 	const random = createRandom(5);
 	let refused = 0;
@@ -192,7 +192,7 @@
 	expect(refused).toBe(0);
 });
 
-test('retries stay within their share of the requests', () => {
+test('retries stay within the retry share of the requests', () => {
 	fc.assert(fc.property(fc.array(fc.boolean(), {maxLength: 200}), fc.double({min: 0, max: 0.5, noNaN: true}), (events, share) => {
 		const budgets = createRetryBudgets();
 		let [sent, retried] = [0, 0];
--- a/packages/scheduler/src/testing/fleet.ts
+++ b/packages/scheduler/src/testing/fleet.ts
@@ -10,45 +10,45 @@
 	createGrantClient, createGroupOwner, type Grant, type GrantClient, type GroupOwner, type Mechanism,
 } from '../index.js';
 
-/** How the links between the hosts of a test fleet behave. */
-export type Links = {
-	/** Chance that a message or its answer is lost. */
-	loss: number;
-	/** Chance that a message arrives twice. */
-	repeat: number;
-	/** Longest delay of a message; messages overtake each other. */
-	delay: number;
-	/** Hosts that nobody reaches and that reach nobody. */
-	cut: Set<HostId>;
+/** Conditions of the simulated network between the hosts of a test fleet. */
+export type NetworkConditions = {
+	/** Probability that a message is lost; an answer is a message of its own. */
+	lossProbability: number;
+	/** Probability that a message is delivered twice. */
+	duplicationProbability: number;
+	/** Maximum delay of a message in milliseconds; delays are random, so messages may overtake each other. */
+	maxDelay: number;
+	/** Hosts that can neither send nor receive messages. */
+	partitionedHosts: Set<HostId>;
 };
 
 /** One host of a test fleet. */
 export type TestHost = {id: HostId; client: GrantClient; owner: GroupOwner; metrics: Metrics};
 
-/** Hosts in one process, joined by links that lose, repeat and delay messages. */
+/** Hosts in one process, connected by a simulated network that loses, duplicates and delays messages. */
 export type TestFleet = {
 	clock: ManualClock;
 	random: Random;
 	hosts: TestHost[];
-	links: Links;
-	/** Host that owns a group in each host's view. */
+	network: NetworkConditions;
+	/** Host that owns all groups, in the view of each host. */
 	owners: Map<HostId, HostId>;
 	counts: {messages: number; bytes: number};
 	getHost: (id: HostId) => TestHost;
 };
 
-/** Creates a fleet whose hosts all take the first as owner. */
+/** Creates a fleet in which all hosts regard the first one as the owner of all groups. */
 export const createTestFleet = (configuration: Configuration, ids: readonly HostId[], seed = 1, without: readonly Mechanism[] = []): TestFleet => {
 	const clock = createManualClock(1_000_000);
 	const random = createRandom(seed);
-	const links: Links = {
-		loss: 0, repeat: 0, delay: 1, cut: new Set(),
+	const network: NetworkConditions = {
+		lossProbability: 0, duplicationProbability: 0, maxDelay: 1, partitionedHosts: new Set(),
 	};
 	const fleet: TestFleet = {
 		clock,
 		random,
 		hosts: [],
-		links,
+		network,
 		owners: new Map(ids.map(id => [id, ids[0] ?? id])),
 		counts: {messages: 0, bytes: 0},
 		getHost: id => fleet.hosts.find(host => host.id === id)!,
@@ -70,7 +70,7 @@
 			if (to === id) {
 				client.receive(answer);
 			} else {
-				void carry(fleet, [id, to], answer, () => {
+				void transmit(fleet, [id, to], answer, () => {
 					fleet.getHost(to).client.receive(structuredClone(answer));
 				});
 			}
@@ -91,14 +91,15 @@
 	};
 };
 
+/** Time in milliseconds after which an exchange without an answer fails. */
 const callTimeout = 500;
 
 const exchange = async (fleet: TestFleet, from: HostId, to: HostId, message: GrantRequest): Promise<PeerOutcome<GrantAnswer>> => {
 	let answer: GrantAnswer | undefined;
-	const isHeard = await carry(fleet, [from, to], message, () => {
+	const isDelivered = await transmit(fleet, [from, to], message, () => {
 		answer = fleet.getHost(to).owner.handle(from, structuredClone(message));
 	});
-	if (isHeard && answer !== undefined && await carry(fleet, [to, from], answer, () => undefined)) {
+	if (isDelivered && answer !== undefined && await transmit(fleet, [to, from], answer, () => undefined)) {
 		return {kind: 'answered', answer: structuredClone(answer)};
 	}
 
@@ -106,18 +107,18 @@
 	return {kind: 'unknown', reason: 'timeout'};
 };
 
-const carry = async (fleet: TestFleet, [from, to]: readonly [HostId, HostId], message: GrantRequest | GrantAnswer, deliver: () => void): Promise<boolean> => {
-	const {links, random, clock, counts} = fleet;
+const transmit = async (fleet: TestFleet, [from, to]: readonly [HostId, HostId], message: GrantRequest | GrantAnswer, deliver: () => void): Promise<boolean> => {
+	const {network, random, clock, counts} = fleet;
 	counts.messages++;
 	counts.bytes += JSON.stringify(message).length;
-	await clock.sleep(random.next() * links.delay);
-	if (links.cut.has(from) || links.cut.has(to) || random.next() < links.loss) {
+	await clock.sleep(random.next() * network.maxDelay);
+	if (network.partitionedHosts.has(from) || network.partitionedHosts.has(to) || random.next() < network.lossProbability) {
 		return false;
 	}
 
 	deliver();
-	if (random.next() < links.repeat) {
-		clock.after(random.next() * links.delay * 10, deliver);
+	if (random.next() < network.duplicationProbability) {
+		clock.after(random.next() * network.maxDelay * 10, deliver);
 	}
 
 	return true;
@@ -141,13 +142,13 @@
 });
 
 /** Creates a request for the model of the test configuration. */
-export const createTestRequest = (fleet: TestFleet, id: string, change: Partial<ClassifiedRequest> = {}): ClassifiedRequest => {
+export const createTestRequest = (fleet: TestFleet, id: string, overrides: Partial<ClassifiedRequest> = {}): ClassifiedRequest => {
 	const now = fleet.clock.now();
 	return {
 		id,
 		customer: 'c',
 		weight: 1,
-		className: `class-${change.rank ?? 0}`,
+		className: `class-${overrides.rank ?? 0}`,
 		tier: 'high',
 		rank: 0,
 		idempotent: true,
@@ -160,20 +161,20 @@
 		},
 		digest: id,
 		fingerprint: id,
-		...change,
+		...overrides,
 	};
 };
 
-/** A grant that can be looked at before it is settled. */
-export type Watched = {id: string; grant?: Grant};
+/** The grant of a request, absent while the request waits. */
+export type GrantRecorder = {id: string; grant?: Grant};
 
-/** Asks and keeps the grant. */
-export const watch = (host: TestHost, request: ClassifiedRequest, attempt = 1): Watched => {
-	const watched: Watched = {id: request.id};
-	const keep = async (): Promise<void> => {
-		watched.grant = await host.client.ask(request, {attempt});
+/** Requests a slot and records the grant once there is one. */
+export const recordGrant = (host: TestHost, request: ClassifiedRequest, attempt = 1): GrantRecorder => {
+	const recorder: GrantRecorder = {id: request.id};
+	const record = async (): Promise<void> => {
+		recorder.grant = await host.client.ask(request, {attempt});
 	};
 
-	void keep();
-	return watched;
+	void record();
+	return recorder;
 };
--- a/packages/scheduler/src/testing/load.ts
+++ b/packages/scheduler/src/testing/load.ts
@@ -3,52 +3,52 @@
 } from '@gentianlift/types';
 import {createTestRequest, type TestFleet, type TestHost} from './fleet.js';
 
-/** A stream of requests. */
-export type Stream = {
+/** A stream of similar requests at a constant mean rate. */
+export type RequestStream = {
 	name: string;
 	rank: Rank;
 	customer: CustomerId;
 	weight?: number;
-	/** Requests a second. */
+	/** Requests per second. */
 	rate: number;
-	/** Mean tokens of an answer; real ones vary from a quarter to about three times as many. */
+	/** Mean output tokens of an answer; actual numbers vary from a quarter of it to three times as many. */
 	tokens: number;
 	firstTokenTarget: Milliseconds;
-	/** Hosts that the requests arrive at; all if absent. */
+	/** Hosts that receive the requests; all if absent. */
 	hosts?: readonly TestHost[];
 };
 
-/** What became of the requests of a stream. */
+/** Numbers of requests of a stream by outcome, and the service time that they used. */
 export type StreamResult = {sent: number; met: number; late: number; shed: number; yielded: number; service: Milliseconds};
 
-/** Results by stream. */
+/** Results by name of the stream. */
 export type LoadResult = Map<string, StreamResult>;
 
-const prefill: Milliseconds = 80;
-const decode: Milliseconds = 10;
-const step: Milliseconds = 10;
+const prefillTime: Milliseconds = 80;
+const timePerOutputToken: Milliseconds = 10;
+const stepTime: Milliseconds = 10;
 
-type Run = {fleet: TestFleet; results: LoadResult; slowness: ReadonlyMap<string, number>};
+type LoadRun = {fleet: TestFleet; results: LoadResult; slowdowns: ReadonlyMap<string, number>};
 
-/** Runs streams of requests through a fleet, with engines that take 80 ms to the first token and 10 ms for each one. */
-export const runLoad = async (fleet: TestFleet, streams: readonly Stream[], duration: Milliseconds, slowness: ReadonlyMap<string, number> = new Map()): Promise<LoadResult> => {
-	const run: Run = {fleet, results: new Map(streams.map(stream => [stream.name, createResult()])), slowness};
-	for (let elapsed = 0, sequence = 0; elapsed < duration; elapsed += step) {
+/** Sends streams of requests through a fleet, with simulated engines that take 80 ms to the first token and 10 ms per further token. */
+export const runLoad = async (fleet: TestFleet, streams: readonly RequestStream[], duration: Milliseconds, slowdowns: ReadonlyMap<string, number> = new Map()): Promise<LoadResult> => {
+	const run: LoadRun = {fleet, results: new Map(streams.map(stream => [stream.name, createResult()])), slowdowns};
+	for (let elapsed = 0, sequence = 0; elapsed < duration; elapsed += stepTime) {
 		for (const stream of streams) {
-			for (let due = stream.rate * step / 1000; fleet.random.next() < due; due--) {
+			for (let expectedCount = stream.rate * stepTime / 1000; fleet.random.next() < expectedCount; expectedCount--) {
 				void send(run, stream, `${stream.name}.${sequence++}`);
 			}
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- Time moves step by step.
-		await fleet.clock.advance(step);
+		await fleet.clock.advance(stepTime);
 	}
 
 	await fleet.clock.advance(duration);
 	return run.results;
 };
 
-/** Gets the part of a stream's requests that met their target. */
+/** Returns the fraction of a stream's requests that met their target. */
 export const getAttainment = (results: LoadResult, name: string): number => {
 	const result = results.get(name);
 	return result === undefined ? 0 : result.met / Math.max(1, result.sent);
@@ -58,7 +58,7 @@
 	sent: 0, met: 0, late: 0, shed: 0, yielded: 0, service: 0,
 });
 
-const send = async (run: Run, stream: Stream, id: string): Promise<void> => {
+const send = async (run: LoadRun, stream: RequestStream, id: string): Promise<void> => {
 	const {fleet} = run;
 	const now = fleet.clock.now();
 	const host = fleet.random.pick(stream.hosts ?? fleet.hosts)!;
@@ -66,14 +66,14 @@
 		rank: stream.rank, customer: stream.customer, weight: stream.weight ?? 1, className: stream.name, deadline: now + stream.firstTokenTarget, expectedTokens: stream.tokens,
 	});
 	run.results.get(stream.name)!.sent++;
-	await attempt({
-		run, stream, host, request, tokens: getLength(fleet, stream.tokens), done: 0, number: 1, yields: 0,
+	await runAttempt({
+		run, stream, host, request, tokens: sampleOutputTokens(fleet, stream.tokens), done: 0, number: 1, yields: 0,
 	});
 };
 
-type Attempt = {run: Run; stream: Stream; host: TestHost; request: ClassifiedRequest; tokens: number; done: number; number: number; yields: number};
+type AttemptState = {run: LoadRun; stream: RequestStream; host: TestHost; request: ClassifiedRequest; tokens: number; done: number; number: number; yields: number};
 
-const attempt = async (state: Attempt): Promise<void> => {
+const runAttempt = async (state: AttemptState): Promise<void> => {
 	const {run, stream, host, request, number, yields, done} = state;
 	const result = run.results.get(stream.name)!;
 	const grant = await host.client.ask(request, {attempt: number, yields, resumed: done > 0});
@@ -85,36 +85,36 @@
 	const outcome = await generate(state, grant.upstream, grant.yieldSignal);
 	result.service += outcome.duration;
 	host.client.end({
-		request: request.id, attempt: number, kind: outcome.yielded ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefill, duration: outcome.duration,
+		request: request.id, attempt: number, kind: outcome.yielded ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefillTime, duration: outcome.duration,
 	});
 	if (outcome.yielded) {
 		result.yielded++;
-		await attempt({
+		await runAttempt({
 			...state, done: done + outcome.tokens, number: number + 1, yields: yields + 1,
 		});
 	}
 };
 
-const generate = async ({run, request, stream, tokens, done}: Attempt, upstream: string, yieldSignal: AbortSignal): Promise<{yielded: boolean; tokens: number; duration: Milliseconds}> => {
+const generate = async ({run, request, stream, tokens, done}: AttemptState, upstream: string, yieldSignal: AbortSignal): Promise<{yielded: boolean; tokens: number; duration: Milliseconds}> => {
 	const {clock} = run.fleet;
-	const slowness = run.slowness.get(upstream) ?? 1;
+	const slowdown = run.slowdowns.get(upstream) ?? 1;
 	const started = clock.now();
 	const result = run.results.get(stream.name)!;
-	await clock.sleep(prefill * slowness);
+	await clock.sleep(prefillTime * slowdown);
 	if (done === 0) {
 		result[clock.now() <= request.deadline ? 'met' : 'late']++;
 	}
 
-	let made = 1;
-	while (made + done < tokens && !yieldSignal.aborted) {
-		const batch = Math.min(10, tokens - done - made);
+	let generated = 1;
+	while (generated + done < tokens && !yieldSignal.aborted) {
+		const batch = Math.min(10, tokens - done - generated);
 		// eslint-disable-next-line no-await-in-loop -- Tokens come one after another.
-		await clock.sleep(batch * decode * slowness);
-		made += batch;
+		await clock.sleep(batch * timePerOutputToken * slowdown);
+		generated += batch;
 	}
 
-	return {yielded: made + done < tokens, tokens: made, duration: clock.now() - started};
+	return {yielded: generated + done < tokens, tokens: generated, duration: clock.now() - started};
 };
 
-const getLength = (fleet: TestFleet, mean: number): number =>
+const sampleOutputTokens = (fleet: TestFleet, mean: number): number =>
 	Math.max(1, Math.round(mean * Math.min(3, 0.25 - (0.75 * Math.log(1 - fleet.random.next())))));
