--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -8,6 +8,7 @@
 	AskOptions, Grant, GrantClient, GrantClientOptions,
 } from './types.js';
 
+/** Milliseconds after which a refused request may be retried. */
 const retryAfter = 1000;
 
 /** Grants every request at once, without queue, admission control or coordination with other hosts. */
--- a/packages/scheduler/src/client/baseline.ts
+++ b/packages/scheduler/src/client/baseline.ts
@@ -4,7 +4,9 @@
 
 /** Load balancing by one host on its own, without queue or coordination, as a baseline for comparison. */
 export type Baseline = {
+	/** Chooses an upstream that can serve the ticket; undefined if there is none. */
 	choose: (groups: readonly Group[], ticket: Ticket) => UpstreamId | undefined;
+	/** Records that a request on an upstream has ended. */
 	end: (upstream: UpstreamId) => void;
 };
 
--- a/packages/scheduler/src/client/choose-group.ts
+++ b/packages/scheduler/src/client/choose-group.ts
@@ -7,7 +7,9 @@
 
 /** Estimated waits by group and rank, from the last reports of the owners. */
 export type WaitEstimates = {
+	/** Records the wait that an owner has reported. */
 	apply: (group: GroupId, rank: Rank, wait: Milliseconds, now: Milliseconds) => void;
+	/** Returns the decayed estimate; 0 for a group without reports. */
 	getWait: (group: GroupId, rank: Rank, now: Milliseconds) => Milliseconds;
 };
 
--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -14,7 +14,9 @@
 export const failuresBeforeDegraded = 2;
 /** The same for answers of hosts that aren't the owner in their own view; more, since the hosts' views soon agree again. */
 const refusalsBeforeDegraded = 8;
+/** Mean delay of the next exchange after a failure. */
 const retryDelay: Milliseconds = 40;
+/** Mean delay of the next probe of the owner in degraded mode. */
 const probeDelay: Milliseconds = 1000;
 
 /** Exchanges batches with the owners of groups; while an owner can't be reached, with this host's own owner in degraded mode. */
--- a/packages/scheduler/src/client/policy-client.ts
+++ b/packages/scheduler/src/client/policy-client.ts
@@ -11,6 +11,7 @@
 	AskOptions, Grant, GrantClient, GrantClientOptions, GroupSession, HeldRequest,
 } from './types.js';
 
+/** Interval at which overdue requests are shed and sessions are checked for messages to send. */
 const tickInterval: Milliseconds = 50;
 /** Maximum number of waiting requests of one host. */
 export const maxHostWaiting = 2000;
@@ -18,6 +19,7 @@
 export const maxHostWaitingBytes = 67_108_864;
 /** How long after its deadline a request still waits for the owner's decision. */
 const decisionGracePeriod: Milliseconds = 1000;
+/** Retry delay given to requests that the host sheds itself, without an estimate of the owner. */
 const defaultRetryAfter: Milliseconds = 2000;
 
 /** The grant client for the setting `order: policy`. Requests slots from the owners of groups, and tracks the requests that wait and run at this host. */
--- a/packages/scheduler/src/client/session.ts
+++ b/packages/scheduler/src/client/session.ts
@@ -4,6 +4,7 @@
 
 /** Interval of heartbeats, the messages in which a host names all requests that it holds. */
 export const heartbeatInterval: Milliseconds = 2000;
+/** Maximum number of ends that are kept while no batch reaches the owner; the oldest are dropped. */
 const maxUnsentEnds = 2000;
 
 /** Creates the session with a group's owner. */
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -46,10 +46,13 @@
 	peers: Pick<PeerCalls, 'exchangeGrants'>;
 	/** Returns the host that owns a group in this host's view. */
 	getOwnerOf: (group: GroupId) => HostId | undefined;
+	/** Returns the owner that runs on this host. */
 	getLocalOwner: () => GroupOwner;
 	/** Returns the groups of the current configuration. */
 	getGroups: () => readonly Group[];
+	/** Order in which requests get slots; `policy` if absent, the others are baselines for comparison. */
 	order?: Settings['order'];
+	/** Mechanisms that are switched off. */
 	without?: readonly Mechanism[];
 };
 
--- a/packages/scheduler/src/owner/commands/preempt.ts
+++ b/packages/scheduler/src/owner/commands/preempt.ts
@@ -57,7 +57,7 @@
 	return entry.deadline - now - getTimeToTarget(state, entry.ticket) < timeToSlot;
 };
 
-/** Returns the run to preempt: of the lowest rank, the one with the longest remaining time. */
+/** Returns the run whose preemption costs least: of the lowest rank, the one with the longest remaining time. */
 const getVictim = (state: GroupState, entry: Entry, now: Milliseconds): Entry | undefined => {
 	const counts = getRunningCounts(state);
 	const victims = getCompetingRuns(state, entry).filter(running =>
@@ -66,10 +66,12 @@
 		second.ticket.rank - first.ticket.rank || getRemainingTime(second, now) - getRemainingTime(first, now))[0];
 };
 
+/** Returns the runs on upstreams that could serve the entry. */
 const getCompetingRuns = (state: GroupState, {ticket}: Entry): Entry[] => [...state.upstreams.values()]
 	.filter(({upstream, standing}) => standing === 'available' && hasNeeds(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
 	.flatMap(({running}) => [...running]);
 
+/** Whether a run may be preempted: it is idempotent and no service call, its rank has more than its floor, and it has yielded fewer than `maxYields` times. */
 const isPreemptible = (state: GroupState, {ticket, state: entryState}: Entry, counts: ReadonlyMap<Rank, number>): boolean => {
 	const floor = Math.ceil((state.context.tiers[ticket.rank]?.floor ?? 0) * getUsableSlots(state));
 	const isAboveFloor = state.context.disabledMechanisms.has('floor') || (counts.get(ticket.rank) ?? 0) > floor;
--- a/packages/scheduler/src/owner/commands/shed.ts
+++ b/packages/scheduler/src/owner/commands/shed.ts
@@ -14,6 +14,7 @@
 export const maxQueueTime: Milliseconds = 900_000;
 /** How long a ticket waits for an upstream to become available before it is refused. */
 const upstreamGracePeriod: Milliseconds = 2000;
+/** Minimum delay given to a refused request. */
 const minRetryAfter: Milliseconds = 1000;
 /** Fraction of a ticket's slack that its expected wait may take up. */
 const admissionSlackFraction = 0.85;
--- a/packages/scheduler/src/owner/commands/update-estimates.ts
+++ b/packages/scheduler/src/owner/commands/update-estimates.ts
@@ -5,7 +5,9 @@
 
 /** Upper bound of a sample of `slotHoldRatio`. */
 export const maxSlotHoldRatio = 1.5;
+/** Maximum number of recent runs that are kept for each upstream. */
 const maxRecentRuns = 256;
+/** How long a run counts as recent. */
 const recentRunExpiry: Milliseconds = 10_000;
 
 /** Updates the estimates from a run that ended, and charges its customer the difference between actual and expected service. */
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -29,12 +29,13 @@
 	random: Random;
 	metrics: Metrics;
 	self: HostId;
-	/** Live hosts, this one included. */
+	/** Returns the live hosts, this one included. */
 	getHosts: () => ReadonlyArray<{host: HostId; zone: Zone}>;
 	/** Returns the host that owns a group in this host's view. */
 	getOwnerOf: (group: GroupId) => HostId | undefined;
 	/** Sends decisions to a host, this one included. */
 	push: (host: HostId, answer: GrantAnswer) => void;
+	/** Mechanisms that are switched off. */
 	without?: readonly Mechanism[];
 };
 
@@ -47,10 +48,15 @@
 	handle: (from: HostId, message: GrantRequest) => GrantAnswer;
 	/** Handles this host's own batch for a group whose owner can't be reached. */
 	handleDegraded: (message: GrantRequest) => GrantAnswer;
+	/** Applies a new configuration to all groups. */
 	applyConfiguration: (version: ConfigurationVersion) => void;
+	/** Records the latest load report of an upstream, and grants slots that it shows to be free. */
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
+	/** Records that a host has seen an upstream leave or crash. */
 	applySighting: (sighting: UpstreamSighting) => void;
+	/** Records the availability of an upstream. */
 	applyStanding: (upstream: UpstreamId, standing: Standing) => void;
+	/** Records prefixes that an upstream has stored in its cache or evicted from it. */
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
 	/** Returns the requests suspected of crashing upstreams, by fingerprint. */
 	getSuspects: () => Suspects;
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -9,9 +9,9 @@
 } from '@gentianlift/types';
 import type {GrantQueue, GrantQueueOptions} from './grant-queue.js';
 
-/** Availability of an upstream as this host sees it; a `probing` upstream gets one request at a time. */
+/** Availabilities of an upstream as this host sees it; a `probing` upstream gets one request at a time. */
 export const standings = ['available', 'probing', 'ejected', 'leaving'] as const;
-/** One of `standings`. */
+/** One of the availabilities above. */
 export type Standing = typeof standings[number];
 
 /** Mechanisms that can be switched off for ablation measurements. */
--- a/packages/scheduler/src/quota/create-quota-client.ts
+++ b/packages/scheduler/src/quota/create-quota-client.ts
@@ -26,7 +26,9 @@
 	metrics: Metrics;
 	self: HostId;
 	peers: Pick<PeerCalls, 'exchangeQuota'>;
+	/** Returns the live hosts, this one included. */
 	getHosts: () => ReadonlyArray<{host: HostId}>;
+	/** Returns the host that owns a key in this host's view. */
 	getOwnerOf: (key: string) => HostId | undefined;
 	getLocalOwner: () => QuotaOwner;
 	getLimits: () => ReadonlyMap<string, Limit>;
--- a/packages/scheduler/src/quota/create-quota-owner.ts
+++ b/packages/scheduler/src/quota/create-quota-owner.ts
@@ -14,6 +14,7 @@
 export type QuotaOwnerOptions = {
 	clock: Clock;
 	self: HostId;
+	/** Returns the live hosts, this one included. */
 	getHosts: () => ReadonlyArray<{host: HostId}>;
 	/** Returns the host that owns a key in this host's view. */
 	getOwnerOf: (key: string) => HostId | undefined;
--- a/packages/scheduler/src/quota/meter.ts
+++ b/packages/scheduler/src/quota/meter.ts
@@ -2,6 +2,7 @@
 import type {Limit} from './limits.js';
 
 const second: Milliseconds = 1000;
+/** Minimum delay given to a refused request. */
 const minRetryAfter: Milliseconds = 1000;
 /** Time over which use is averaged, for which it is requested in advance, and for which a fallback share lasts. */
 const usageWindow: Milliseconds = 1000;
