--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -32,7 +32,7 @@
 	yields?: number;
 	/** True once part of the answer has reached the caller. */
 	resumed?: boolean;
-	/** Memory that the request takes up while it waits. */
+	/** Memory in bytes that the request takes up while it waits; 0 if absent. */
 	bytes?: number;
 };
 
@@ -66,7 +66,7 @@
 	withdraw: (request: RequestId) => void;
 	/** Applies the decisions that an owner has pushed. */
 	receive: (answer: GrantAnswer) => void;
-	/** Returns the numbers of waiting and running requests, and the memory that the waiting ones take up. */
+	/** Returns the numbers of waiting and running requests, and the memory in bytes that the waiting ones take up. */
 	getCounts: () => {waiting: number; running: number; bytes: number};
 	stop: () => void;
 };
@@ -97,7 +97,7 @@
 /** State of this host's exchange of messages with the owner of one group. */
 export type GroupSession = {
 	group: GroupId;
-	/** Owner that the last batch was sent to; undefined before the first batch and after a failure. */
+	/** Owner that the last batch was sent to; undefined before the first batch, after a failure and after degraded mode. */
 	owner: HostId | undefined;
 	mode: SessionMode;
 	/** Requests whose tickets are to be sent. */
@@ -110,7 +110,7 @@
 	/** Exchanges in flight. */
 	inFlight: number;
 	consecutiveFailures: number;
-	/** Time by the monotonic clock before which no exchange is started. */
+	/** Time by the monotonic clock before which no exchange with the owner is started. */
 	notBefore: Milliseconds;
 	/** Time by the monotonic clock of the next heartbeat, a message that names all held requests. */
 	nextHeartbeatAt: Milliseconds;
