--- a/packages/router/src/callers/admission.ts
+++ b/packages/router/src/callers/admission.ts
@@ -7,7 +7,7 @@
 import type {
 	ClassifiedRequest, Configuration, Customer, Work,
 } from '@gentianlift/types';
-import type {HostParts} from '../parts.js';
+import type {HostContext} from '../host-context.js';
 import type {Exchange} from './exchange.js';
 import {getApiKey, getDeclaredClass, getIdempotencyKey} from './read-headers.js';
 
@@ -15,8 +15,8 @@
 export type Caller = {customer: Customer; configuration: Configuration};
 
 /** Finds the caller's customer; throws `not-configured`, `missing-key` or `wrong-key`. */
-export const authenticate = (parts: HostParts, request: IncomingMessage): Caller => {
-	const version = parts.getConfiguration();
+export const authenticate = (context: HostContext, request: IncomingMessage): Caller => {
+	const version = context.getConfiguration();
 	if (version === undefined) {
 		throw createFailure('not-configured');
 	}
@@ -30,7 +30,7 @@
 };
 
 /** What a request brings to its classification. */
-export type Arrival = {
+export type IncomingRequest = {
 	method: string;
 	/** Path that the rules match: of a call, the path at the service. */
 	path: string;
@@ -40,24 +40,24 @@
 	work: Work;
 };
 
-const getName = (work: Work): string => work.kind === 'generation' ? work.model : work.service;
+const getTargetName = (work: Work): string => work.kind === 'generation' ? work.model : work.service;
 
-const getDigest = ({method, path, body, work}: Arrival): string =>
-	createHash('sha256').update(`${getName(work)} ${method} ${path}\n`).update(body).digest('hex');
+const getDigest = ({method, path, body, work}: IncomingRequest): string =>
+	createHash('sha256').update(`${getTargetName(work)} ${method} ${path}\n`).update(body).digest('hex');
 
 /** Classifies a request, opens its account and notes both in the exchange; throws the refusal's error kind. */
-export const admitRequest = (parts: HostParts, {customer, configuration}: Caller, exchange: Exchange, arrival: Arrival): ClassifiedRequest => {
+export const admitRequest = (context: HostContext, {customer, configuration}: Caller, exchange: Exchange, incoming: IncomingRequest): ClassifiedRequest => {
 	const declaredClass = getDeclaredClass(exchange.request);
 	const idempotencyKey = getIdempotencyKey(exchange.request);
 	const classification = classifyRequest(configuration, {
 		id: exchange.id,
 		customer,
-		arrivedAt: parts.clock.now(),
-		method: arrival.method,
-		path: arrival.path,
-		work: arrival.work,
-		digest: getDigest(arrival),
-		fingerprint: getFingerprint(getName(arrival.work), arrival.prompt),
+		arrivedAt: context.clock.now(),
+		method: incoming.method,
+		path: incoming.path,
+		work: incoming.work,
+		digest: getDigest(incoming),
+		fingerprint: getFingerprint(getTargetName(incoming.work), incoming.prompt),
 		...(declaredClass !== undefined && {declaredClass}),
 		...(idempotencyKey !== undefined && {idempotencyKey}),
 	});
@@ -67,21 +67,21 @@
 
 	const {request} = classification;
 	const isBooking = !request.idempotent && request.idempotencyKey !== undefined;
-	const named = isBooking ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
-	exchange.id = named.id;
-	exchange.classified = named;
-	parts.accounts.open(named);
-	return named;
+	const identified = isBooking ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
+	exchange.id = identified.id;
+	exchange.classified = identified;
+	context.accounts.open(identified);
+	return identified;
 };
 
 /** Takes the customer's limits and the host's own into account; throws the refusal's error kind. */
-export const takeLimits = async (parts: HostParts, customer: Customer, request: ClassifiedRequest): Promise<(tokens: number) => void> => {
-	const rankLimit = parts.getRankLimit();
+export const acquireLimits = async (context: HostContext, customer: Customer, request: ClassifiedRequest): Promise<(tokens: number) => void> => {
+	const rankLimit = context.getRankLimit();
 	if (rankLimit !== undefined && request.rank > rankLimit) {
 		throw createFailure('host-overloaded', {retryAfter: 1000});
 	}
 
-	const decision = await parts.limits.take(customer, request);
+	const decision = await context.limits.acquire(customer, request);
 	if (decision.kind === 'refused') {
 		throw createFailure(decision.error, {retryAfter: decision.retryAfter});
 	}
--- a/packages/router/src/callers/caller-server.ts
+++ b/packages/router/src/callers/caller-server.ts
@@ -11,9 +11,9 @@
 /** Answers one request of a caller. */
 export type CallerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-const checkInterval = 1000;
+const timeoutCheckMilliseconds = 1000;
 
-const kindsByCode: Record<string, ErrorKind> = {
+const errorKindsByCode: Record<string, ErrorKind> = {
 	HPE_HEADER_OVERFLOW: 'headers-too-large',
 	ERR_HTTP_REQUEST_TIMEOUT: 'body-timeout',
 };
@@ -25,7 +25,7 @@
 		return;
 	}
 
-	const kind = kindsByCode[error.code ?? ''] ?? 'bad-request';
+	const kind = errorKindsByCode[error.code ?? ''] ?? 'bad-request';
 	metrics.count('refusals_total', {reason: kind});
 	const body = JSON.stringify(getErrorBody(createFailure(kind), ''));
 	socket.end([
@@ -47,7 +47,7 @@
 		maxHeaderSize: callerLimits.headerBytes,
 		headersTimeout: callerLimits.headerTimeout,
 		requestTimeout: callerLimits.headerTimeout + callerLimits.bodyTimeout,
-		connectionsCheckingInterval: checkInterval,
+		connectionsCheckingInterval: timeoutCheckMilliseconds,
 		keepAlive: true,
 		noDelay: true,
 	}, handle);
--- a/packages/router/src/callers/caller-stream.ts
+++ b/packages/router/src/callers/caller-stream.ts
@@ -3,52 +3,52 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Where the bytes of an answer go. */
-export type AnswerWriter = {
+export type ResponseWriter = {
 	/** Takes bytes; false if no more may follow before `drained`. */
 	write: (bytes: Uint8Array) => boolean;
 	/** Waits until more may follow; false if the reader has gone. */
-	drained: () => Promise<boolean>;
+	waitUntilWritable: () => Promise<boolean>;
 };
 
 /** The caller's side of an answer under way. */
-export type CallerStream = AnswerWriter & {
+export type CallerStream = ResponseWriter & {
 	/** Sends the head of the answer, once. */
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 	end: () => void;
 	hasBegun: () => boolean;
 	/** Aborted when the caller has gone, or has read nothing for too long. */
-	gone: AbortSignal;
+	callerGone: AbortSignal;
 };
 
 /** What the caller's side takes. */
 export type CallerStreamOptions = {
 	clock: Clock;
 	/** Time after which a caller that reads nothing is taken as gone. */
-	silence: Milliseconds;
+	idleTimeout: Milliseconds;
 	/** Aborted when an operator cuts all open requests; the stream counts as gone then. */
-	cut: AbortSignal;
+	abortSignal: AbortSignal;
 };
 
 /** Creates the caller's side of an answer. */
-export const createCallerStream = (response: ServerResponse, {clock, silence, cut}: CallerStreamOptions): CallerStream => {
-	const gone = new AbortController();
-	const onCut = (): void => {
-		gone.abort();
+export const createCallerStream = (response: ServerResponse, {clock, idleTimeout, abortSignal}: CallerStreamOptions): CallerStream => {
+	const callerGone = new AbortController();
+	const onAbort = (): void => {
+		callerGone.abort();
 	};
 
-	cut.addEventListener('abort', onCut, {once: true});
+	abortSignal.addEventListener('abort', onAbort, {once: true});
 	response.once('close', () => {
-		cut.removeEventListener('abort', onCut);
+		abortSignal.removeEventListener('abort', onAbort);
 		if (!response.writableFinished) {
-			gone.abort();
+			callerGone.abort();
 		}
 	});
 
-	const waitForDrain = async (): Promise<boolean> => new Promise(resolve => {
+	const waitForDrainEvent = async (): Promise<boolean> => new Promise(resolve => {
 		const finish = (isReading: boolean): void => {
 			cancel();
 			response.off('drain', onDrain);
-			gone.signal.removeEventListener('abort', onGone);
+			callerGone.signal.removeEventListener('abort', onGone);
 			resolve(isReading);
 		};
 
@@ -60,19 +60,19 @@
 			finish(false);
 		};
 
-		const cancel = clock.after(silence, () => {
+		const cancel = clock.after(idleTimeout, () => {
 			response.destroy();
-			gone.abort();
+			callerGone.abort();
 		});
 		response.once('drain', onDrain);
-		gone.signal.addEventListener('abort', onGone);
+		callerGone.signal.addEventListener('abort', onGone);
 	});
 
 	return {
-		gone: gone.signal,
+		callerGone: callerGone.signal,
 		hasBegun: () => response.headersSent,
 		begin(status, headers) {
-			if (!response.headersSent && !gone.signal.aborted) {
+			if (!response.headersSent && !callerGone.signal.aborted) {
 				response.statusCode = status;
 				for (const [name, value] of Object.entries(headers)) {
 					if (value !== undefined) {
@@ -83,8 +83,8 @@
 				response.flushHeaders();
 			}
 		},
-		write: bytes => !gone.signal.aborted && response.write(bytes),
-		drained: async () => gone.signal.aborted ? false : waitForDrain(),
+		write: bytes => !callerGone.signal.aborted && response.write(bytes),
+		waitUntilWritable: async () => callerGone.signal.aborted ? false : waitForDrainEvent(),
 		end() {
 			response.end();
 		},
--- a/packages/router/src/callers/stored-answer.ts
+++ b/packages/router/src/callers/claimed-response.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import type {Claim, ClaimOutcome} from '@gentianlift/types';
-import type {ClaimedResult} from '../dispatch/run-claimed.js';
-import {getAccountHeaders, sendJson} from './answer.js';
+import type {ClaimedRequestResult} from '../dispatch/run-claimed.js';
+import {getAccountHeaders, sendJson} from './send-response.js';
 import type {Exchange} from './exchange.js';
 
 /*
@@ -9,7 +9,7 @@
 
 Where the body was too large to keep, or has been dropped with age, the caller gets the status of the booking in an account instead.
 */
-const sendStored = ({response, id}: Exchange, claim: Claim, outcome: Extract<ClaimOutcome, {kind: 'finished'}>): void => {
+const sendStoredResponse = ({response, id}: Exchange, claim: Claim, outcome: Extract<ClaimOutcome, {kind: 'finished'}>): void => {
 	const headers = {...getAccountHeaders(id, 'ran'), 'x-original-request-id': claim.request, 'x-replayed': 'true'};
 	if (outcome.body === undefined) {
 		sendJson(response, outcome.status, {replayed: true, request_id: claim.request, status: outcome.status}, headers);
@@ -25,14 +25,14 @@
 };
 
 /** Ends the answer of a non-idempotent request: one that ran now has been relayed already. Throws the failure to report. */
-export const sendClaimed = (exchange: Exchange, result: ClaimedResult): void => {
+export const sendClaimedResult = (exchange: Exchange, result: ClaimedRequestResult): void => {
 	switch (result.kind) {
 		case 'relayed': {
 			return;
 		}
 
 		case 'stored': {
-			sendStored(exchange, result.claim, result.outcome);
+			sendStoredResponse(exchange, result.claim, result.outcome);
 			return;
 		}
 
--- a/packages/router/src/callers/commands/chat.ts
+++ b/packages/router/src/callers/commands/chat.ts
@@ -4,19 +4,19 @@
 	ClassifiedRequest, Configuration, Work,
 } from '@gentianlift/types';
 import {runGeneration, type GenerationResult} from '../../dispatch/run-generation.js';
-import type {HostParts} from '../../parts.js';
+import type {HostContext} from '../../host-context.js';
 import {
-	admitRequest, authenticate, takeLimits, type Caller,
+	admitRequest, authenticate, acquireLimits, type Caller,
 } from '../admission.js';
-import {getAccountHeaders, sendJson} from '../answer.js';
+import {getAccountHeaders, sendJson} from '../send-response.js';
 import {createCallerStream, type CallerStream} from '../caller-stream.js';
-import {createStreamWriter, createWholeWriter} from '../chat-writer.js';
+import {createStreamWriter, createBufferedWriter} from '../response-writers.js';
 import {parseChatBody, type ChatBody} from '../chat-body.js';
-import {endUnfinished, getUnfinishedEnd, serveClaimed} from '../ending.js';
+import {handleUnfinished, getUnfinishedClaimEnd, serveClaimedRequest} from '../unfinished-request.js';
 import type {Exchange} from '../exchange.js';
-import {getCompletion} from '../completion.js';
+import {createCompletionBody} from '../completion-body.js';
 import {readBody} from '../read-body.js';
-import {recordLatencies} from '../latencies.js';
+import {createLatencyRecorder} from '../latency-recorder.js';
 
 /** A chat completion that has been classified. */
 type Chat = {
@@ -48,74 +48,74 @@
 	};
 };
 
-const checkSupport = (body: ChatBody): void => {
+const checkToolSupport = (body: ChatBody): void => {
 	if (body.stream !== true && body.tools !== undefined) {
 		throw createFailure('bad-request', {detail: 'tools: calls of tools need "stream": true.'});
 	}
 };
 
-const runChat = async (parts: HostParts, chat: Chat): Promise<GenerationResult> => {
+const runChat = async (context: HostContext, chat: Chat): Promise<GenerationResult> => {
 	const {request, body, bytes, stream} = chat;
-	const latencies = recordLatencies(parts, request);
-	const result = await runGeneration(parts, {
+	const latencyRecorder = createLatencyRecorder(context, request);
+	const result = await runGeneration(context, {
 		request,
 		body,
 		bytes,
-		stop: request.idempotent ? stream.gone : new AbortController().signal,
-		writer: body.stream === true ? createStreamWriter(request, stream, latencies.mark) : createWholeWriter(latencies.mark),
+		stopSignal: request.idempotent ? stream.callerGone : new AbortController().signal,
+		writer: body.stream === true ? createStreamWriter(request, stream, latencyRecorder.recordOutput) : createBufferedWriter(latencyRecorder.recordOutput),
 	});
-	latencies.end(result.kind === 'finished');
+	latencyRecorder.recordEnd(result.kind === 'finished');
 	return result;
 };
 
-const sendResult = (parts: HostParts, {request, body, exchange, stream}: Chat, result: GenerationResult): void => {
+const sendResult = (context: HostContext, {request, body, exchange, stream}: Chat, result: GenerationResult): void => {
 	if (result.kind !== 'finished') {
-		endUnfinished(parts, exchange, request, result);
+		handleUnfinished(context, exchange, request, result);
 		return;
 	}
 
-	parts.accounts.apply({kind: 'finished', request: request.id, status: 200});
+	context.accounts.apply({kind: 'finished', request: request.id, status: 200});
 	if (body.stream === true) {
 		stream.end();
 	} else {
-		sendJson(exchange.response, 200, getCompletion(request, body.model, result, parts.clock.now()), getAccountHeaders(request.id, 'ran'));
+		sendJson(exchange.response, 200, createCompletionBody(request, body.model, result, context.clock.now()), getAccountHeaders(request.id, 'ran'));
 	}
 };
 
 /** Runs a chat within its customer's limits and answers. */
-const serveChat = async (parts: HostParts, chat: Chat): Promise<GenerationResult> => {
-	const release = await takeLimits(parts, chat.caller.customer, chat.request);
+const serveChat = async (context: HostContext, chat: Chat): Promise<GenerationResult> => {
+	const release = await acquireLimits(context, chat.caller.customer, chat.request);
 	let tokens = 0;
 	try {
-		const result = await runChat(parts, chat);
+		const result = await runChat(context, chat);
 		tokens = result.tokens;
-		sendResult(parts, chat, result);
+		sendResult(context, chat, result);
 		return result;
 	} finally {
 		release(tokens);
 	}
 };
 
-const serveClaimedChat = async (parts: HostParts, chat: Chat): Promise<void> => serveClaimed(parts, chat.exchange, chat.request, async () => {
-	const result = await serveChat(parts, chat);
-	return result.kind === 'finished' ? {kind: 'finished', status: 200} : getUnfinishedEnd(result);
+const serveClaimedChat = async (context: HostContext, chat: Chat): Promise<void> => serveClaimedRequest(context, chat.exchange, chat.request, async () => {
+	const result = await serveChat(context, chat);
+	return result.kind === 'finished' ? {kind: 'finished', status: 200} : getUnfinishedClaimEnd(result);
 });
 
 /** Answers `POST /v1/chat/completions`, as a stream or whole; throws the failure to report. */
-export const handleChat = async (parts: HostParts, exchange: Exchange): Promise<void> => {
-	const caller = authenticate(parts, exchange.request);
-	const bytes = await readBody(exchange.request, parts.settings.callerLimits, parts.clock);
+export const handleChat = async (context: HostContext, exchange: Exchange): Promise<void> => {
+	const caller = authenticate(context, exchange.request);
+	const bytes = await readBody(exchange.request, context.settings.callerLimits, context.clock);
 	const body = parseChatBody(bytes);
-	checkSupport(body);
+	checkToolSupport(body);
 	const prompt = getPrompt(body);
-	const request = admitRequest(parts, caller, exchange, {
+	const request = admitRequest(context, caller, exchange, {
 		method: 'POST', path: '/v1/chat/completions', body: bytes, prompt, work: getWork(caller.configuration, body, prompt),
 	});
 	const stream = createCallerStream(exchange.response, {
-		clock: parts.clock, silence: parts.settings.silenceLimits.caller, cut: parts.open.cut.signal,
+		clock: context.clock, idleTimeout: context.settings.silenceLimits.caller, abortSignal: context.inFlightRequests.abortController.signal,
 	});
 	const chat: Chat = {
 		caller, request, body, bytes: bytes.length, exchange, stream,
 	};
-	await (request.idempotent ? serveChat(parts, chat) : serveClaimedChat(parts, chat));
+	await (request.idempotent ? serveChat(context, chat) : serveClaimedChat(context, chat));
 };
--- a/packages/router/src/callers/commands/service.ts
+++ b/packages/router/src/callers/commands/service.ts
@@ -4,16 +4,16 @@
 import {getEndToEndHeaders} from '@gentianlift/upstream';
 import type {ClassifiedRequest} from '@gentianlift/types';
 import {runCall, type CallResult} from '../../dispatch/run-call.js';
-import type {ClaimedEnd} from '../../dispatch/run-claimed.js';
-import type {HostParts} from '../../parts.js';
+import type {ClaimedRequestEnd} from '../../dispatch/run-claimed.js';
+import type {HostContext} from '../../host-context.js';
 import {
-	admitRequest, authenticate, takeLimits, type Caller,
+	admitRequest, authenticate, acquireLimits, type Caller,
 } from '../admission.js';
-import {getAccountHeaders} from '../answer.js';
+import {getAccountHeaders} from '../send-response.js';
 import {createCallerStream, type CallerStream} from '../caller-stream.js';
-import {endUnfinished, getUnfinishedEnd, serveClaimed} from '../ending.js';
+import {handleUnfinished, getUnfinishedClaimEnd, serveClaimedRequest} from '../unfinished-request.js';
 import type {Exchange} from '../exchange.js';
-import {recordLatencies} from '../latencies.js';
+import {createLatencyRecorder} from '../latency-recorder.js';
 import {readBody} from '../read-body.js';
 
 type Call = {
@@ -26,11 +26,11 @@
 };
 
 /** Headers of callers that are for the router alone. */
-const ownHeaders = ['authorization', 'x-class', 'x-request-id', 'host', 'content-length', 'expect'];
+const routerHeaders = ['authorization', 'x-class', 'x-request-id', 'host', 'content-length', 'expect'];
 
 const getServiceHeaders = (request: IncomingMessage, id: string, length: number): OutgoingHttpHeaders => {
 	const headers = getEndToEndHeaders(request.headers);
-	for (const name of ownHeaders) {
+	for (const name of routerHeaders) {
 		// eslint-disable-next-line @typescript-eslint/no-dynamic-delete -- The names are a closed list.
 		delete headers[name];
 	}
@@ -38,42 +38,42 @@
 	return {...headers, 'x-request-id': id, ...(length > 0 && {'content-length': String(length)})};
 };
 
-const runServiceCall = async (parts: HostParts, call: Call): Promise<CallResult> => {
+const runServiceCall = async (context: HostContext, call: Call): Promise<CallResult> => {
 	const {request, exchange, stream, path, body} = call;
-	const latencies = recordLatencies(parts, request);
-	const result = await runCall(parts, {
+	const latencyRecorder = createLatencyRecorder(context, request);
+	const result = await runCall(context, {
 		request,
 		method: exchange.request.method ?? 'GET',
 		path,
 		headers: getServiceHeaders(exchange.request, request.id, body.length),
 		body,
-		gone: stream.gone,
-		reader: {
+		callerGone: stream.callerGone,
+		receiver: {
 			begin(status, headers) {
-				latencies.mark();
+				latencyRecorder.recordOutput();
 				stream.begin(status, {...headers, ...getAccountHeaders(request.id, 'ran')});
 			},
 			write: stream.write,
-			drained: stream.drained,
+			waitUntilWritable: stream.waitUntilWritable,
 		},
 	});
-	latencies.end(result.kind === 'finished');
+	latencyRecorder.recordEnd(result.kind === 'finished');
 	return result;
 };
 
-const endCall = (parts: HostParts, {request, exchange, stream}: Call, result: CallResult): void => {
+const sendResult = (context: HostContext, {request, exchange, stream}: Call, result: CallResult): void => {
 	if (result.kind !== 'finished') {
-		endUnfinished(parts, exchange, request, result);
+		handleUnfinished(context, exchange, request, result);
 		return;
 	}
 
-	parts.accounts.apply({kind: 'finished', request: request.id, status: result.status});
+	context.accounts.apply({kind: 'finished', request: request.id, status: result.status});
 	stream.end();
 };
 
-const getClaimedEnd = (result: CallResult): ClaimedEnd => {
+const getClaimedEnd = (result: CallResult): ClaimedRequestEnd => {
 	if (result.kind !== 'finished') {
-		return getUnfinishedEnd(result);
+		return getUnfinishedClaimEnd(result);
 	}
 
 	const {status, contentType, body, upstream} = result;
@@ -83,27 +83,27 @@
 };
 
 /** Makes a call within its customer's limits and answers. */
-const serveCall = async (parts: HostParts, call: Call): Promise<CallResult> => {
-	const release = await takeLimits(parts, call.caller.customer, call.request);
+const serveCall = async (context: HostContext, call: Call): Promise<CallResult> => {
+	const release = await acquireLimits(context, call.caller.customer, call.request);
 	try {
-		const result = await runServiceCall(parts, call);
-		endCall(parts, call, result);
+		const result = await runServiceCall(context, call);
+		sendResult(context, call, result);
 		return result;
 	} finally {
 		release(0);
 	}
 };
 
-const serveClaimedCall = async (parts: HostParts, call: Call): Promise<void> =>
-	serveClaimed(parts, call.exchange, call.request, async () => getClaimedEnd(await serveCall(parts, call)));
+const serveClaimedCall = async (context: HostContext, call: Call): Promise<void> =>
+	serveClaimedRequest(context, call.exchange, call.request, async () => getClaimedEnd(await serveCall(context, call)));
 
 const dotSegment = /(?:^|[\/\\])(?:\.|%2e){1,2}(?:$|[\/\\])/iv;
 const encodedSlash = /%2f|%5c/iv;
 
 /** Throws `bad-request` for a path that the service may read as another one than the rules match. */
 const checkPath = (path: string): void => {
-	const [place = ''] = path.split('?');
-	if (dotSegment.test(place) || encodedSlash.test(place)) {
+	const [pathname = ''] = path.split('?');
+	if (dotSegment.test(pathname) || encodedSlash.test(pathname)) {
 		throw createFailure('bad-request', {detail: 'The path has dot segments or encoded slashes.'});
 	}
 };
@@ -111,14 +111,14 @@
 const servicePath = /^\/v1\/services\/(?<service>[^\/?]+)(?<path>.*)$/v;
 
 /** Passes a call under `/v1/services/<name>/` on to the service; throws the failure to report. */
-export const handleService = async (parts: HostParts, exchange: Exchange): Promise<void> => {
-	const caller = authenticate(parts, exchange.request);
-	const {service = '', path: rest = ''} = servicePath.exec(exchange.request.url ?? '')?.groups ?? {};
+export const handleService = async (context: HostContext, exchange: Exchange): Promise<void> => {
+	const caller = authenticate(context, exchange.request);
+	const {service = '', path: remainder = ''} = servicePath.exec(exchange.request.url ?? '')?.groups ?? {};
 	const method = exchange.request.method ?? 'GET';
-	const path = rest.startsWith('/') ? rest : `/${rest}`;
+	const path = remainder.startsWith('/') ? remainder : `/${remainder}`;
 	checkPath(path);
-	const body = await readBody(exchange.request, parts.settings.callerLimits, parts.clock);
-	const request = admitRequest(parts, caller, exchange, {
+	const body = await readBody(exchange.request, context.settings.callerLimits, context.clock);
+	const request = admitRequest(context, caller, exchange, {
 		method,
 		path,
 		body,
@@ -128,10 +128,10 @@
 		},
 	});
 	const stream = createCallerStream(exchange.response, {
-		clock: parts.clock, silence: parts.settings.silenceLimits.caller, cut: parts.open.cut.signal,
+		clock: context.clock, idleTimeout: context.settings.silenceLimits.caller, abortSignal: context.inFlightRequests.abortController.signal,
 	});
 	const call: Call = {
 		caller, request, exchange, stream, path, body,
 	};
-	await (request.idempotent ? serveCall(parts, call) : serveClaimedCall(parts, call));
+	await (request.idempotent ? serveCall(context, call) : serveClaimedCall(context, call));
 };
--- a/packages/router/src/callers/completion.ts
+++ b/packages/router/src/callers/completion-body.ts
@@ -11,7 +11,7 @@
 const millisecondsPerSecond = 1000;
 
 /** Gets the OpenAI-style body of a whole answer. */
-export const getCompletion = (request: ClassifiedRequest, model: string, generation: FinishedGeneration, now: Milliseconds) => {
+export const createCompletionBody = (request: ClassifiedRequest, model: string, generation: FinishedGeneration, now: Milliseconds) => {
 	const {text, tokens, finishReason} = generation;
 	const estimate = request.work.kind === 'generation' ? request.work.promptTokens : 0;
 	const promptTokens = generation.promptTokens ?? estimate;
--- a/packages/router/src/callers/read-body.ts
+++ b/packages/router/src/callers/read-body.ts
@@ -15,16 +15,16 @@
 	}
 
 	return new Promise((resolve, reject) => {
-		const parts: Uint8Array[] = [];
+		const chunks: Uint8Array[] = [];
 		let size = 0;
 		const cancel = clock.after(limits.bodyTimeout, () => {
 			request.pause();
 			reject(createFailure('body-timeout'));
 		});
 
-		request.on('data', (part: Uint8Array) => {
-			size += part.length;
-			parts.push(part);
+		request.on('data', (chunk: Uint8Array) => {
+			size += chunk.length;
+			chunks.push(chunk);
 			if (size > limits.bodyBytes) {
 				cancel();
 				request.pause();
@@ -33,7 +33,7 @@
 		});
 		request.on('end', () => {
 			cancel();
-			resolve(Buffer.concat(parts));
+			resolve(Buffer.concat(chunks));
 		});
 		request.on('close', () => {
 			cancel();
--- a/packages/router/src/callers/read-headers.ts
+++ b/packages/router/src/callers/read-headers.ts
@@ -1,14 +1,14 @@
 import type {IncomingMessage} from 'node:http';
 import {createFailure} from '@gentianlift/errors';
 
-const singleHeaders = new Set(['authorization', 'content-type', 'content-length', 'idempotency-key', 'x-class', 'host']);
+const nonRepeatableHeaders = new Set(['authorization', 'content-type', 'content-length', 'idempotency-key', 'x-class', 'host']);
 
 /** Throws `repeated-header` if a header that may be given once was repeated. */
 export const checkHeaders = (request: IncomingMessage): void => {
 	const seen = new Set<string>();
 	for (const [index, text] of request.rawHeaders.entries()) {
 		const name = text.toLowerCase();
-		if (index % 2 === 1 || !singleHeaders.has(name)) {
+		if (index % 2 === 1 || !nonRepeatableHeaders.has(name)) {
 			continue;
 		}
 
@@ -32,7 +32,7 @@
 	return key;
 };
 
-const longestIdempotencyKey = 200;
+const maxIdempotencyKeyLength = 200;
 const printable = /^[!-~]+$/v;
 
 /** Gets the idempotency key, if one was given; throws `key-invalid`. */
@@ -42,8 +42,8 @@
 		return undefined;
 	}
 
-	if (typeof key !== 'string' || key.length > longestIdempotencyKey || !printable.test(key)) {
-		throw createFailure('key-invalid', {detail: `It takes 1 to ${longestIdempotencyKey} printable characters without spaces.`});
+	if (typeof key !== 'string' || key.length > maxIdempotencyKeyLength || !printable.test(key)) {
+		throw createFailure('key-invalid', {detail: `It takes 1 to ${maxIdempotencyKeyLength} printable characters without spaces.`});
 	}
 
 	return key;
--- /dev/null
+++ b/packages/router/src/callers/response-writers.test.ts
@@ -0,0 +1,18 @@
+import {expect, test} from 'vitest';
+import {createStreamWriter} from './response-writers.js';
+import type {CallerStream} from './caller-stream.js';
+
+const disconnectedStream: CallerStream = {
+	begin: () => undefined,
+	write: () => false,
+	waitUntilWritable: async () => false,
+	end: () => undefined,
+	hasBegun: () => true,
+	callerGone: AbortSignal.abort(),
+};
+
+test('only an idempotent answer ends when its caller has gone', async () => {
+	const write = (idempotent: boolean) => createStreamWriter({id: 'a.1.1', idempotent}, disconnectedStream, () => undefined);
+	expect(await write(true).waitUntilWritable()).toBe(false);
+	expect(await write(false).waitUntilWritable()).toBe(true);
+});
--- a/packages/router/src/dispatch/call-attempt.ts
+++ b/packages/router/src/dispatch/call-attempt.ts
@@ -1,36 +1,36 @@
 import {Buffer} from 'node:buffer';
 import type {OutgoingHttpHeaders} from 'node:http';
 import type {ServiceCall} from '@gentianlift/upstream';
-import type {AnswerWriter} from '../callers/caller-stream.js';
-import type {HostParts} from '../parts.js';
-import {getLostAttempt, type LostAttempt} from './attempt-end.js';
+import type {ResponseWriter} from '../callers/caller-stream.js';
+import type {HostContext} from '../host-context.js';
+import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
 
 /** Where a service's answer goes. */
-export type AnswerReader = AnswerWriter & {
+export type ResponseReceiver = ResponseWriter & {
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 };
 
 /** How one attempt of a call ended. */
-export type CallEnd
+export type CallAttemptEnd
 	= | {kind: 'finished'; status: number; contentType: string | undefined; body: string | undefined}
 	/** The answer had begun; what has reached the caller can't be taken back. */
-		| {kind: 'cut'; lost: LostAttempt}
-		| LostAttempt;
+		| {kind: 'cut'; lost: FailedAttempt}
+		| FailedAttempt;
 
 /** Longest body of an answer that is kept for resends, in bytes. */
-export const longestKeptBody = 4096;
+export const maxStoredBodyBytes = 4096;
 
-const createKeeper = () => {
-	const pieces: Uint8Array[] = [];
+const createBodyBuffer = () => {
+	const chunks: Uint8Array[] = [];
 	let size = 0;
 	return {
 		add(bytes: Uint8Array): void {
 			size += bytes.length;
-			if (size <= longestKeptBody) {
-				pieces.push(bytes);
+			if (size <= maxStoredBodyBytes) {
+				chunks.push(bytes);
 			}
 		},
-		getBody: (): string | undefined => size <= longestKeptBody ? Buffer.concat(pieces).toString('utf8') : undefined,
+		getBody: (): string | undefined => size <= maxStoredBodyBytes ? Buffer.concat(chunks).toString('utf8') : undefined,
 	};
 };
 
@@ -39,28 +39,28 @@
 
 With `outlivesReader` the answer is read to its end even if the reader has gone.
 */
-export const runCallAttempt = async (parts: HostParts, call: ServiceCall, reader: AnswerReader, outlivesReader: boolean): Promise<CallEnd> => {
-	const answer = await parts.upstreams.callService(call);
-	if (answer.kind !== 'answered') {
-		return getLostAttempt(answer);
+export const runCallAttempt = async (context: HostContext, call: ServiceCall, receiver: ResponseReceiver, readsToEnd: boolean): Promise<CallAttemptEnd> => {
+	const response = await context.upstreams.callService(call);
+	if (response.kind !== 'answered') {
+		return getFailedAttempt(response);
 	}
 
-	reader.begin(answer.status, answer.headers);
-	const keeper = createKeeper();
-	for await (const {bytes} of answer.chunks) {
-		keeper.add(bytes);
-		if (!reader.write(bytes) && !(await reader.drained()) && !outlivesReader) {
+	receiver.begin(response.status, response.headers);
+	const bodyBuffer = createBodyBuffer();
+	for await (const {bytes} of response.chunks) {
+		bodyBuffer.add(bytes);
+		if (!receiver.write(bytes) && !(await receiver.waitUntilWritable()) && !readsToEnd) {
 			break;
 		}
 	}
 
-	const outcome = await answer.outcome;
+	const outcome = await response.outcome;
 	if (outcome.kind !== 'finished') {
-		return {kind: 'cut', lost: {...getLostAttempt(outcome), ran: 'ran', error: 'answer-incomplete'}};
+		return {kind: 'cut', lost: {...getFailedAttempt(outcome), ran: 'ran', error: 'answer-incomplete'}};
 	}
 
-	const contentType = answer.headers['content-type'];
+	const contentType = response.headers['content-type'];
 	return {
-		kind: 'finished', status: answer.status, contentType: typeof contentType === 'string' ? contentType : undefined, body: keeper.getBody(),
+		kind: 'finished', status: response.status, contentType: typeof contentType === 'string' ? contentType : undefined, body: bodyBuffer.getBody(),
 	};
 };
--- a/packages/router/src/dispatch/attempt-end.ts
+++ b/packages/router/src/dispatch/failed-attempt.ts
@@ -5,7 +5,7 @@
 } from '@gentianlift/types';
 
 /** An attempt that gave no whole answer, in the words of accounts, errors and sightings. */
-export type LostAttempt = {
+export type FailedAttempt = {
 	kind: 'lost';
 	error: ErrorKind;
 	outcome: AttemptOutcome;
@@ -38,7 +38,7 @@
 	}
 };
 
-const errorKindOf = {
+const errorKinds = {
 	refused: 'upstream-refused',
 	unreachable: 'upstream-unreachable',
 	reset: 'upstream-reset',
@@ -47,21 +47,21 @@
 	cancelled: 'outcome-unknown',
 } as const satisfies Record<CallFailure['kind'], ErrorKind>;
 
-const longestRejection = 500;
+const maxRejectionCharacters = 500;
 /** Statuses that tell of the upstream's state and not of the request. */
-const passingStatuses = new Set([408, 425, 429]);
+const transientStatuses = new Set([408, 425, 429]);
 
 const getRejection = (failure: CallFailure): string | undefined => {
-	const isRejection = failure.kind === 'failed' && failure.status >= 400 && failure.status < 500 && !passingStatuses.has(failure.status);
-	return isRejection ? failure.text.slice(0, longestRejection) : undefined;
+	const isRejection = failure.kind === 'failed' && failure.status >= 400 && failure.status < 500 && !transientStatuses.has(failure.status);
+	return isRejection ? failure.text.slice(0, maxRejectionCharacters) : undefined;
 };
 
 /** Gets the end of an attempt whose call failed before its answer started. */
-export const getLostAttempt = (failure: CallFailure): LostAttempt => {
+export const getFailedAttempt = (failure: CallFailure): FailedAttempt => {
 	const rejection = getRejection(failure);
 	return {
 		kind: 'lost',
-		error: rejection === undefined ? errorKindOf[failure.kind] : 'upstream-rejected',
+		error: rejection === undefined ? errorKinds[failure.kind] : 'upstream-rejected',
 		outcome: failure.kind,
 		sighting: getSighting(failure),
 		ran: getRunState(failure),
@@ -71,11 +71,11 @@
 };
 
 /** Tells a crash from a lost connection: after a reset, an upstream that crashed refuses new connections. */
-export const probeLoss = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, lost: LostAttempt): Promise<LostAttempt> => {
-	if (lost.sighting !== 'reset') {
-		return lost;
+export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: FailedAttempt): Promise<FailedAttempt> => {
+	if (failure.sighting !== 'reset') {
+		return failure;
 	}
 
 	const health = await upstreams.checkHealth(address);
-	return health === 'unreachable' ? {...lost, sighting: 'crashed'} : lost;
+	return health === 'unreachable' ? {...failure, sighting: 'crashed'} : failure;
 };
--- a/packages/router/src/dispatch/generation-attempt.ts
+++ b/packages/router/src/dispatch/generation-attempt.ts
@@ -1,8 +1,8 @@
 import {getEngineBody, type GenerationOutcome, type Resume} from '@gentianlift/upstream';
 import type {Address, ClassifiedRequest, Milliseconds} from '@gentianlift/types';
-import type {AnswerWriter} from '../callers/caller-stream.js';
-import type {HostParts} from '../parts.js';
-import {getLostAttempt, type LostAttempt} from './attempt-end.js';
+import type {ResponseWriter} from '../callers/caller-stream.js';
+import type {HostContext} from '../host-context.js';
+import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
 
 /** A generation to run at one engine. */
 export type GenerationAttempt = {
@@ -13,15 +13,15 @@
 	body: Record<string, unknown>;
 	resume: Resume | undefined;
 	/** Aborted when the caller has gone, or an operator forces the host to stop. */
-	stop: AbortSignal;
+	stopSignal: AbortSignal;
 	/** Aborted when a higher tier needs the slot. */
-	yielding: AbortSignal;
+	preemptionSignal: AbortSignal;
 	/** Takes whole events. */
-	writer: AnswerWriter;
+	writer: ResponseWriter;
 };
 
 /** How one attempt of a generation ended. */
-export type GenerationEnd = {
+export type GenerationAttemptEnd = {
 	/** Output of this attempt alone. */
 	text: string;
 	tokens: number;
@@ -31,7 +31,7 @@
 		| {kind: 'finished'; finishReason: string | undefined; promptTokens: number | undefined}
 		| {kind: 'yielded'}
 		| {kind: 'stopped'}
-		| LostAttempt;
+		| FailedAttempt;
 };
 
 const getPromptTokens = (usage: unknown): number | undefined => {
@@ -42,26 +42,26 @@
 	return typeof usage.prompt_tokens === 'number' ? usage.prompt_tokens : undefined;
 };
 
-const getLost = (outcome: Exclude<GenerationOutcome, {kind: 'finished'}>): LostAttempt => {
+const getFailure = (outcome: Exclude<GenerationOutcome, {kind: 'finished'}>): FailedAttempt => {
 	if (outcome.kind === 'incomplete') {
 		return {
 			kind: 'lost', error: 'answer-incomplete', outcome: 'failed', sighting: 'reset', ran: 'ran',
 		};
 	}
 
-	return {...getLostAttempt(outcome), ran: 'ran'};
+	return {...getFailedAttempt(outcome), ran: 'ran'};
 };
 
-const getResult = (outcome: GenerationOutcome, {stop, yielding}: GenerationAttempt): GenerationEnd['result'] => {
+const getResult = (outcome: GenerationOutcome, {stopSignal, preemptionSignal}: GenerationAttempt): GenerationAttemptEnd['result'] => {
 	if (outcome.kind === 'finished') {
 		return {kind: 'finished', finishReason: outcome.finishReason, promptTokens: getPromptTokens(outcome.usage)};
 	}
 
-	if (stop.aborted) {
+	if (stopSignal.aborted) {
 		return {kind: 'stopped'};
 	}
 
-	return yielding.aborted ? {kind: 'yielded'} : getLost(outcome);
+	return preemptionSignal.aborted ? {kind: 'yielded'} : getFailure(outcome);
 };
 
 /** Joins signals that outlive an attempt; `release` lets go of them, which a composite signal would do only with the garbage collector. */
@@ -90,41 +90,41 @@
 };
 
 /** Runs a generation at one engine and hands its events to the reader. Never throws. */
-export const runGenerationAttempt = async (parts: HostParts, attempt: GenerationAttempt): Promise<GenerationEnd> => {
-	const {request, address, priority, body, resume, stop, yielding, writer} = attempt;
-	const startedAt = parts.clock.monotonic();
-	const joined = joinSignals([stop, yielding]);
+export const runGenerationAttempt = async (context: HostContext, attempt: GenerationAttempt): Promise<GenerationAttemptEnd> => {
+	const {request, address, priority, body, resume, stopSignal, preemptionSignal, writer} = attempt;
+	const startedAt = context.clock.monotonic();
+	const joinedSignal = joinSignals([stopSignal, preemptionSignal]);
 	const prefix = request.work.kind === 'generation' ? request.work.prefix : [];
-	const started = await parts.upstreams.generate({
+	const generation = await context.upstreams.generate({
 		address,
 		body: getEngineBody(body, resume),
 		headers: {
 			'x-request-id': request.id, 'x-priority': String(priority), ...(prefix.length > 0 && {'x-prefix': prefix.join(',')}),
 		},
-		signal: joined.signal,
+		signal: joinedSignal.signal,
 	});
-	if (started.kind !== 'started') {
-		joined.release();
-		const result = started.kind === 'cancelled' ? getResult(started, attempt) : getLostAttempt(started);
+	if (generation.kind !== 'started') {
+		joinedSignal.release();
+		const result = generation.kind === 'cancelled' ? getResult(generation, attempt) : getFailedAttempt(generation);
 		return {
 			text: '', tokens: 0, firstTokenAfter: undefined, result,
 		};
 	}
 
 	let firstTokenAfter: Milliseconds | undefined;
-	for await (const {bytes, tokens} of started.chunks) {
+	for await (const {bytes, tokens} of generation.chunks) {
 		if (tokens > 0) {
-			firstTokenAfter ??= parts.clock.monotonic() - startedAt;
+			firstTokenAfter ??= context.clock.monotonic() - startedAt;
 		}
 
-		if (!writer.write(bytes) && !(await writer.drained())) {
+		if (!writer.write(bytes) && !(await writer.waitUntilWritable())) {
 			break;
 		}
 	}
 
-	const outcome = await started.outcome;
-	joined.release();
+	const outcome = await generation.outcome;
+	joinedSignal.release();
 	return {
-		text: started.getText(), tokens: started.getTokens(), firstTokenAfter, result: getResult(outcome, attempt),
+		text: generation.getText(), tokens: generation.getTokens(), firstTokenAfter, result: getResult(outcome, attempt),
 	};
 };
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -2,8 +2,8 @@
 import type {
 	ClassifiedRequest, Milliseconds, RunState, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
-import type {HostParts} from '../parts.js';
-import type {LostAttempt} from './attempt-end.js';
+import type {HostContext} from '../host-context.js';
+import type {FailedAttempt} from './failed-attempt.js';
 
 /** Joins what is known of several attempts: the request ran if any did, and may have run if any may. */
 export const joinRunStates = (one: RunState, other: RunState): RunState => {
@@ -15,20 +15,20 @@
 };
 
 /** Asks for an upstream, and takes the request back when `stop` is aborted first. */
-export const askForUpstream = async (parts: HostParts, request: ClassifiedRequest, stop: AbortSignal, options: AskOptions): Promise<Grant> => {
-	if (stop.aborted) {
+export const acquireUpstream = async (context: HostContext, request: ClassifiedRequest, stopSignal: AbortSignal, options: AskOptions): Promise<Grant> => {
+	if (stopSignal.aborted) {
 		return {kind: 'withdrawn'};
 	}
 
 	const withdraw = (): void => {
-		parts.grants.withdraw(request.id);
+		context.grants.withdraw(request.id);
 	};
 
-	stop.addEventListener('abort', withdraw, {once: true});
+	stopSignal.addEventListener('abort', withdraw, {once: true});
 	try {
-		return await parts.grants.ask(request, options);
+		return await context.grants.ask(request, options);
 	} finally {
-		stop.removeEventListener('abort', withdraw);
+		stopSignal.removeEventListener('abort', withdraw);
 	}
 };
 
@@ -38,34 +38,34 @@
 	upstream: UpstreamId;
 	attempt: number;
 	kind: TicketEnd['kind'];
-	lost: LostAttempt | undefined;
+	failure: FailedAttempt | undefined;
 	tokens: number;
 	firstTokenAfter: Milliseconds | undefined;
 	duration: Milliseconds;
 	ran: RunState;
 };
 
-const outcomeOf = {
+const attemptOutcomes = {
 	finished: 'finished', failed: 'failed', cancelled: 'cancelled', preempted: 'preempted', withdrawn: 'cancelled',
 } as const;
 
 /** Tells everybody concerned how an attempt ended, and gives its slot back. */
-export const recordAttemptEnd = (parts: HostParts, record: AttemptRecord): void => {
-	const {request, upstream, lost, tokens} = record;
-	parts.grants.end({
+export const recordAttemptEnd = (context: HostContext, record: AttemptRecord): void => {
+	const {request, upstream, failure, tokens} = record;
+	context.grants.end({
 		request: request.id,
 		attempt: record.attempt,
 		kind: record.kind,
 		tokens,
 		duration: Math.round(record.duration),
-		...(lost?.sighting === 'crashed' && {crashed: true}),
+		...(failure?.sighting === 'crashed' && {crashed: true}),
 		...(record.firstTokenAfter !== undefined && {firstTokenAfter: Math.round(record.firstTokenAfter)}),
 	});
-	parts.accounts.apply({
-		kind: 'attempt-ended', request: request.id, upstream, outcome: lost?.outcome ?? outcomeOf[record.kind], tokens, ran: record.ran,
+	context.accounts.apply({
+		kind: 'attempt-ended', request: request.id, upstream, outcome: failure?.outcome ?? attemptOutcomes[record.kind], tokens, ran: record.ran,
 	});
-	const sighting = record.kind === 'finished' ? 'success' : lost?.sighting;
+	const sighting = record.kind === 'finished' ? 'success' : failure?.sighting;
 	if (sighting !== undefined) {
-		parts.recordSighting({upstream, at: parts.clock.now(), kind: sighting});
+		context.recordSighting({upstream, at: context.clock.now(), kind: sighting});
 	}
 };
--- a/packages/router/src/dispatch/run-call.ts
+++ b/packages/router/src/dispatch/run-call.ts
@@ -4,12 +4,12 @@
 import {decideRetry} from '@gentianlift/policy';
 import type {Grant} from '@gentianlift/scheduler';
 import type {ClassifiedRequest, RunState, UpstreamId} from '@gentianlift/types';
-import type {HostParts} from '../parts.js';
-import {probeLoss, type LostAttempt} from './attempt-end.js';
+import type {HostContext} from '../host-context.js';
+import {detectCrash, type FailedAttempt} from './failed-attempt.js';
 import {
-	runCallAttempt, type AnswerReader, type CallEnd,
+	runCallAttempt, type ResponseReceiver, type CallAttemptEnd,
 } from './call-attempt.js';
-import {askForUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
+import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
 
 /** A call to a service, to run to its end. */
 export type CallRun = {
@@ -20,8 +20,8 @@
 	headers: OutgoingHttpHeaders;
 	body: Uint8Array;
 	/** Aborted when the caller has gone. A non-idempotent call goes on all the same once it was sent. */
-	gone: AbortSignal;
-	reader: AnswerReader;
+	callerGone: AbortSignal;
+	receiver: ResponseReceiver;
 };
 
 /** Outcome of a call. */
@@ -32,33 +32,33 @@
 
 type Progress = {attempts: number; ran: RunState; avoid: UpstreamId[]};
 
-const getFailed = (lost: LostAttempt, ran: RunState): CallResult => ({
+const createFailedResult = (failure: FailedAttempt, ran: RunState): CallResult => ({
 	kind: 'failed',
-	failure: createFailure(lost.error, {ran, ...(lost.retryAfter !== undefined && {retryAfter: lost.retryAfter})}),
+	failure: createFailure(failure.error, {ran, ...(failure.retryAfter !== undefined && {retryAfter: failure.retryAfter})}),
 });
 
-const mayRetry = async (parts: HostParts, run: CallRun, progress: Progress, lost: LostAttempt): Promise<boolean> => {
+const prepareRetry = async (context: HostContext, run: CallRun, progress: Progress, failure: FailedAttempt): Promise<boolean> => {
 	const {request} = run;
 	const decision = decideRetry({
-		ran: lost.ran,
+		ran: failure.ran,
 		idempotent: request.idempotent,
 		attempts: progress.attempts,
-		slack: request.deadline - parts.clock.now(),
+		slack: request.deadline - context.clock.now(),
 		expectedDuration: 0,
 		resumable: true,
-		withinBudget: lost.ran === 'not-run' || parts.limits.takeRetry(request),
-	}, parts.random.next());
+		withinBudget: failure.ran === 'not-run' || context.limits.acquireRetry(request),
+	}, context.random.next());
 	if (decision.kind === 'stop') {
-		parts.metrics.count('retries_denied_total', {reason: decision.reason, error: lost.error});
+		context.metrics.count('retries_denied_total', {reason: decision.reason, error: failure.error});
 		return false;
 	}
 
-	parts.metrics.count('retries_total', {reason: decision.reason, error: lost.error});
-	await parts.clock.sleep(decision.delay);
+	context.metrics.count('retries_total', {reason: decision.reason, error: failure.error});
+	await context.clock.sleep(decision.delay);
 	return true;
 };
 
-const getLost = (end: CallEnd): LostAttempt | undefined => {
+const getAttemptFailure = (end: CallAttemptEnd): FailedAttempt | undefined => {
 	switch (end.kind) {
 		case 'finished': {
 			return undefined;
@@ -74,37 +74,37 @@
 	}
 };
 
-const runOnce = async (parts: HostParts, run: CallRun, progress: Progress, {upstream}: Extract<Grant, {kind: 'granted'}>): Promise<CallEnd> => {
-	const {request, method, path, headers, body, gone, reader} = run;
-	const startedAt = parts.clock.monotonic();
-	parts.accounts.apply({kind: 'attempt-started', request: request.id, upstream});
-	const address = parts.getDirectory().byId.get(upstream)?.address ?? '';
-	const attempt = await runCallAttempt(parts, {
+const runAttempt = async (context: HostContext, run: CallRun, progress: Progress, {upstream}: Extract<Grant, {kind: 'granted'}>): Promise<CallAttemptEnd> => {
+	const {request, method, path, headers, body, callerGone, receiver} = run;
+	const startedAt = context.clock.monotonic();
+	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream});
+	const address = context.getDirectory().byId.get(upstream)?.address ?? '';
+	const attempt = await runCallAttempt(context, {
 		address,
 		method,
 		path,
 		headers,
 		body: Buffer.from(body.buffer, body.byteOffset, body.byteLength),
-		...(request.idempotent && {signal: gone}),
-	}, reader, !request.idempotent);
-	const end = attempt.kind === 'lost' ? await probeLoss(parts.upstreams, address, attempt) : attempt;
-	const lost = getLost(end);
-	recordAttemptEnd(parts, {
+		...(request.idempotent && {signal: callerGone}),
+	}, receiver, !request.idempotent);
+	const end = attempt.kind === 'lost' ? await detectCrash(context.upstreams, address, attempt) : attempt;
+	const failure = getAttemptFailure(end);
+	recordAttemptEnd(context, {
 		request,
 		upstream,
 		attempt: progress.attempts,
-		kind: lost === undefined ? 'finished' : 'failed',
-		lost,
+		kind: failure === undefined ? 'finished' : 'failed',
+		failure,
 		tokens: 0,
 		firstTokenAfter: undefined,
-		duration: parts.clock.monotonic() - startedAt,
-		ran: lost?.ran ?? 'ran',
+		duration: context.clock.monotonic() - startedAt,
+		ran: failure?.ran ?? 'ran',
 	});
 	return end;
 };
 
-const settle = async (parts: HostParts, run: CallRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<CallResult | Progress> => {
-	const end = await runOnce(parts, run, progress, grant);
+const runAttemptAndDecide = async (context: HostContext, run: CallRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<CallResult | Progress> => {
+	const end = await runAttempt(context, run, progress, grant);
 	const {upstream} = grant;
 	switch (end.kind) {
 		case 'finished': {
@@ -112,27 +112,27 @@
 		}
 
 		case 'cut': {
-			return run.gone.aborted ? {kind: 'stopped', ran: 'ran'} : getFailed(end.lost, 'ran');
+			return run.callerGone.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.lost, 'ran');
 		}
 
 		case 'lost': {
 			const ran = joinRunStates(progress.ran, end.ran);
-			if (run.request.idempotent && run.gone.aborted) {
+			if (run.request.idempotent && run.callerGone.aborted) {
 				return {kind: 'stopped', ran};
 			}
 
-			return await mayRetry(parts, run, progress, end) ? {attempts: progress.attempts, ran, avoid: [...progress.avoid, upstream]} : getFailed(end, ran);
+			return await prepareRetry(context, run, progress, end) ? {attempts: progress.attempts, ran, avoid: [...progress.avoid, upstream]} : createFailedResult(end, ran);
 		}
 	}
 };
 
 /** Runs a call: asks for an upstream, and tries another where the call was not run or is idempotent. */
-export const runCall = async (parts: HostParts, run: CallRun): Promise<CallResult> => {
+export const runCall = async (context: HostContext, run: CallRun): Promise<CallResult> => {
 	let progress: Progress = {attempts: 0, ran: 'not-run', avoid: []};
 	for (;;) {
 		progress = {...progress, attempts: progress.attempts + 1};
 		// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-		const grant = await askForUpstream(parts, run.request, run.gone, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
+		const grant = await acquireUpstream(context, run.request, run.callerGone, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
 		switch (grant.kind) {
 			case 'withdrawn': {
 				return {kind: 'stopped', ran: progress.ran};
@@ -144,7 +144,7 @@
 
 			case 'granted': {
 				// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-				const result = await settle(parts, run, progress, grant);
+				const result = await runAttemptAndDecide(context, run, progress, grant);
 				if ('kind' in result) {
 					return result;
 				}
--- a/packages/router/src/dispatch/run-claimed.ts
+++ b/packages/router/src/dispatch/run-claimed.ts
@@ -2,15 +2,15 @@
 import type {
 	Claim, ClaimDecision, ClaimOutcome, ClassifiedRequest, Milliseconds, UpstreamId,
 } from '@gentianlift/types';
-import type {HostParts} from '../parts.js';
+import type {HostContext} from '../host-context.js';
 
 /** How a claimed request ended, for its claim and for its caller. */
-export type ClaimedEnd
+export type ClaimedRequestEnd
 	= | {kind: 'finished'; upstream?: UpstreamId; status: number; contentType?: string; body?: string}
 		| {kind: 'failed'; upstream?: UpstreamId; failure: RequestFailure};
 
 /** What the caller of a non-idempotent request gets. */
-export type ClaimedResult
+export type ClaimedRequestResult
 	/** The request ran now; its answer has been relayed. */
 	= | {kind: 'relayed'}
 	/** The request had ended before; this is its stored outcome. */
@@ -18,9 +18,9 @@
 		| {kind: 'failed'; failure: RequestFailure};
 
 /** Longest wait of a resend for the request that is under way. */
-const joinLimit: Milliseconds = 10_000;
+const joinTimeout: Milliseconds = 10_000;
 
-const getOutcome = (end: ClaimedEnd): ClaimOutcome => {
+const getOutcome = (end: ClaimedRequestEnd): ClaimOutcome => {
 	if (end.kind === 'finished') {
 		const {status, contentType, body} = end;
 		return {
@@ -34,7 +34,7 @@
 const getFailure = (decision: Exclude<ClaimDecision, {kind: 'start' | 'done'}>): RequestFailure => {
 	switch (decision.kind) {
 		case 'in-progress': {
-			return createFailure('in-progress', {detail: `Request: ${decision.claim.request}.`, retryAfter: joinLimit});
+			return createFailure('in-progress', {detail: `Request: ${decision.claim.request}.`, retryAfter: joinTimeout});
 		}
 
 		case 'unknown': {
@@ -65,7 +65,7 @@
 	}
 };
 
-const getDone = (claim: Claim): ClaimedResult => {
+const getEarlierResult = (claim: Claim): ClaimedRequestResult => {
 	const {outcome} = claim;
 	if (outcome.kind === 'finished') {
 		return {kind: 'stored', claim, outcome};
@@ -76,28 +76,28 @@
 };
 
 /** Runs a non-idempotent request under its claim: `run` is called at most once, and only after the claim is stored. */
-export const runClaimed = async (parts: HostParts, request: ClassifiedRequest, run: () => Promise<ClaimedEnd>): Promise<ClaimedResult> => {
+export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, run: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
 	const key = {customer: request.customer, key: request.idempotencyKey ?? ''};
-	const decision = await parts.claims.join({
+	const decision = await context.claims.join({
 		key,
 		digest: request.digest,
 		request: request.id,
-		host: parts.settings.host,
-		incarnation: parts.incarnation,
+		host: context.settings.host,
+		incarnation: context.incarnation,
 		className: request.className,
-	}, joinLimit);
-	parts.metrics.count('claims_total', {decision: decision.kind});
+	}, joinTimeout);
+	context.metrics.count('claims_total', {decision: decision.kind});
 	switch (decision.kind) {
 		case 'start': {
 			const end = await run();
-			parts.claims.settle({
+			context.claims.settle({
 				key, request: request.id, outcome: getOutcome(end), ...(end.upstream !== undefined && {upstream: end.upstream}),
 			});
 			return end.kind === 'finished' ? {kind: 'relayed'} : end;
 		}
 
 		case 'done': {
-			return getDone(decision.claim);
+			return getEarlierResult(decision.claim);
 		}
 
 		case 'in-progress':
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -4,11 +4,11 @@
 import type {
 	ClassifiedRequest, Milliseconds, RunState, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
-import type {AnswerWriter} from '../callers/caller-stream.js';
-import type {HostParts} from '../parts.js';
-import {probeLoss, type LostAttempt} from './attempt-end.js';
-import {runGenerationAttempt, type GenerationEnd} from './generation-attempt.js';
-import {askForUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
+import type {ResponseWriter} from '../callers/caller-stream.js';
+import type {HostContext} from '../host-context.js';
+import {detectCrash, type FailedAttempt} from './failed-attempt.js';
+import {runGenerationAttempt, type GenerationAttemptEnd} from './generation-attempt.js';
+import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
 
 /** A generation to run to its end, over as many engines as it takes. */
 export type GenerationRun = {
@@ -16,8 +16,8 @@
 	body: Record<string, unknown>;
 	/** Bytes that the request holds while it waits. */
 	bytes: number;
-	stop: AbortSignal;
-	writer: AnswerWriter;
+	stopSignal: AbortSignal;
+	writer: ResponseWriter;
 };
 
 /** Outcome of a generation. */
@@ -30,8 +30,8 @@
 type Progress = {
 	attempts: number;
 	/** Attempts that count against the limit of retries; those that yielded don't. */
-	tries: number;
-	yields: number;
+	countedAttempts: number;
+	preemptions: number;
 	text: string;
 	tokens: number;
 	ran: RunState;
@@ -44,13 +44,13 @@
 
 const ticketEndKinds = {
 	finished: 'finished', yielded: 'preempted', stopped: 'cancelled', lost: 'failed',
-} as const satisfies Record<GenerationEnd['result']['kind'], TicketEnd['kind']>;
+} as const satisfies Record<GenerationAttemptEnd['result']['kind'], TicketEnd['kind']>;
 
 /** Gets the time left to start in. Once there is output, going on from it is always less work than the resend that would follow a cut answer. */
 const getSlack = ({request}: GenerationRun, progress: Progress, now: Milliseconds): Milliseconds =>
 	progress.tokens === 0 ? request.deadline - now : Number.POSITIVE_INFINITY;
 
-const addAttempt = (progress: Progress, upstream: UpstreamId, end: GenerationEnd, ran: RunState): Progress => ({
+const addAttempt = (progress: Progress, upstream: UpstreamId, end: GenerationAttemptEnd, ran: RunState): Progress => ({
 	...progress,
 	crashes: progress.crashes + (end.result.kind === 'lost' && end.result.sighting === 'crashed' ? 1 : 0),
 	avoid: end.result.kind === 'lost' ? [...progress.avoid, upstream] : progress.avoid,
@@ -59,10 +59,10 @@
 	ran: joinRunStates(progress.ran, ran),
 });
 
-const stepAfterLoss = async (parts: HostParts, run: GenerationRun, progress: Progress, lost: LostAttempt): Promise<Step> => {
+const handleFailedAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, failedAttempt: FailedAttempt): Promise<Step> => {
 	const {request} = run;
-	if (lost.rejection !== undefined) {
-		return {kind: 'done', result: {kind: 'failed', failure: createFailure(lost.error, {ran: progress.ran, detail: lost.rejection}), tokens: progress.tokens}};
+	if (failedAttempt.rejection !== undefined) {
+		return {kind: 'done', result: {kind: 'failed', failure: createFailure(failedAttempt.error, {ran: progress.ran, detail: failedAttempt.rejection}), tokens: progress.tokens}};
 	}
 
 	if (progress.crashes >= guiltyCrashes) {
@@ -70,28 +70,28 @@
 	}
 
 	const decision = decideRetry({
-		ran: lost.ran,
+		ran: failedAttempt.ran,
 		idempotent: request.idempotent,
-		attempts: progress.tries,
-		slack: getSlack(run, progress, parts.clock.now()),
+		attempts: progress.countedAttempts,
+		slack: getSlack(run, progress, context.clock.now()),
 		expectedDuration: 0,
 		resumable: true,
 		// Going on from output is no extra load: it takes the place of a resend by the caller, which would start anew.
-		withinBudget: progress.tokens > 0 || lost.ran === 'not-run' || parts.limits.takeRetry(request),
-	}, parts.random.next());
+		withinBudget: progress.tokens > 0 || failedAttempt.ran === 'not-run' || context.limits.acquireRetry(request),
+	}, context.random.next());
 	if (decision.kind === 'stop') {
-		parts.metrics.count('retries_denied_total', {reason: decision.reason, error: lost.error});
-		parts.metrics.count('wasted_tokens_total', {cause: lost.error}, progress.tokens);
-		const failure = createFailure(lost.error, {ran: progress.ran, ...(lost.retryAfter !== undefined && {retryAfter: lost.retryAfter})});
+		context.metrics.count('retries_denied_total', {reason: decision.reason, error: failedAttempt.error});
+		context.metrics.count('wasted_tokens_total', {cause: failedAttempt.error}, progress.tokens);
+		const failure = createFailure(failedAttempt.error, {ran: progress.ran, ...(failedAttempt.retryAfter !== undefined && {retryAfter: failedAttempt.retryAfter})});
 		return {kind: 'done', result: {kind: 'failed', failure, tokens: progress.tokens}};
 	}
 
-	parts.metrics.count('retries_total', {reason: decision.reason, error: lost.error});
-	await parts.clock.sleep(decision.delay);
+	context.metrics.count('retries_total', {reason: decision.reason, error: failedAttempt.error});
+	await context.clock.sleep(decision.delay);
 	return {kind: 'again', progress};
 };
 
-const stepAfter = async (parts: HostParts, run: GenerationRun, progress: Progress, end: GenerationEnd): Promise<Step> => {
+const handleAttemptEnd = async (context: HostContext, run: GenerationRun, progress: Progress, end: GenerationAttemptEnd): Promise<Step> => {
 	const {result} = end;
 	switch (result.kind) {
 		case 'finished': {
@@ -100,62 +100,62 @@
 		}
 
 		case 'stopped': {
-			parts.metrics.count('wasted_tokens_total', {cause: 'caller-gone'}, progress.tokens);
+			context.metrics.count('wasted_tokens_total', {cause: 'caller-gone'}, progress.tokens);
 			return {kind: 'done', result: {kind: 'stopped', ran: progress.ran, tokens: progress.tokens}};
 		}
 
 		case 'yielded': {
-			parts.metrics.count('retries_total', {reason: 'preempted', error: 'none'});
-			return {kind: 'again', progress: {...progress, yields: progress.yields + 1, tries: progress.tries - 1}};
+			context.metrics.count('retries_total', {reason: 'preempted', error: 'none'});
+			return {kind: 'again', progress: {...progress, preemptions: progress.preemptions + 1, countedAttempts: progress.countedAttempts - 1}};
 		}
 
 		case 'lost': {
-			return stepAfterLoss(parts, run, progress, result);
+			return handleFailedAttempt(context, run, progress, result);
 		}
 	}
 };
 
-const runOnce = async (parts: HostParts, run: GenerationRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<Step> => {
+const runAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<Step> => {
 	const {request} = run;
-	const startedAt = parts.clock.monotonic();
-	parts.accounts.apply({kind: 'attempt-started', request: request.id, upstream: grant.upstream});
-	const address = parts.getDirectory().byId.get(grant.upstream)?.address ?? '';
-	const attempt = await runGenerationAttempt(parts, {
+	const startedAt = context.clock.monotonic();
+	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream: grant.upstream});
+	const address = context.getDirectory().byId.get(grant.upstream)?.address ?? '';
+	const attempt = await runGenerationAttempt(context, {
 		request,
 		address,
 		priority: grant.priority,
 		body: run.body,
 		resume: progress.tokens === 0 ? undefined : {text: progress.text, tokens: progress.tokens},
-		stop: run.stop,
-		yielding: grant.yieldSignal,
+		stopSignal: run.stopSignal,
+		preemptionSignal: grant.yieldSignal,
 		writer: run.writer,
 	});
-	const end = attempt.result.kind === 'lost' ? {...attempt, result: await probeLoss(parts.upstreams, address, attempt.result)} : attempt;
+	const end = attempt.result.kind === 'lost' ? {...attempt, result: await detectCrash(context.upstreams, address, attempt.result)} : attempt;
 	const ran = end.result.kind === 'lost' ? end.result.ran : 'ran';
-	recordAttemptEnd(parts, {
+	recordAttemptEnd(context, {
 		request,
 		upstream: grant.upstream,
 		attempt: progress.attempts,
 		kind: ticketEndKinds[end.result.kind],
-		lost: end.result.kind === 'lost' ? end.result : undefined,
+		failure: end.result.kind === 'lost' ? end.result : undefined,
 		tokens: end.tokens,
 		firstTokenAfter: end.firstTokenAfter,
-		duration: parts.clock.monotonic() - startedAt,
+		duration: context.clock.monotonic() - startedAt,
 		ran,
 	});
-	return stepAfter(parts, run, addAttempt(progress, grant.upstream, end, ran), end);
+	return handleAttemptEnd(context, run, addAttempt(progress, grant.upstream, end, ran), end);
 };
 
 /** Runs a generation: asks for an engine, and after a loss or a preemption goes on at another where that is proven safe. */
-export const runGeneration = async (parts: HostParts, run: GenerationRun): Promise<GenerationResult> => {
+export const runGeneration = async (context: HostContext, run: GenerationRun): Promise<GenerationResult> => {
 	let progress: Progress = {
-		attempts: 0, tries: 0, yields: 0, text: '', tokens: 0, ran: 'not-run', crashes: 0, avoid: [],
+		attempts: 0, countedAttempts: 0, preemptions: 0, text: '', tokens: 0, ran: 'not-run', crashes: 0, avoid: [],
 	};
 	for (;;) {
-		progress = {...progress, attempts: progress.attempts + 1, tries: progress.tries + 1};
+		progress = {...progress, attempts: progress.attempts + 1, countedAttempts: progress.countedAttempts + 1};
 		// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-		const grant = await askForUpstream(parts, run.request, run.stop, {
-			attempt: progress.attempts, avoid: progress.avoid, yields: progress.yields, resumed: progress.tokens > 0, bytes: run.bytes,
+		const grant = await acquireUpstream(context, run.request, run.stopSignal, {
+			attempt: progress.attempts, avoid: progress.avoid, yields: progress.preemptions, resumed: progress.tokens > 0, bytes: run.bytes,
 		});
 		switch (grant.kind) {
 			case 'withdrawn': {
@@ -168,7 +168,7 @@
 
 			case 'granted': {
 				// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-				const step = await runOnce(parts, run, progress, grant);
+				const step = await runAttempt(context, run, progress, grant);
 				if (step.kind === 'done') {
 					return step.result;
 				}
--- a/packages/router/src/event-loop.ts
+++ b/packages/router/src/event-loop-monitor.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Measures how late the event loop runs. */
-export type EventLoopGauge = {
+export type EventLoopMonitor = {
 	/** Mean lateness since the last call. */
 	readLag: () => Milliseconds;
 	stop: () => void;
@@ -12,14 +12,14 @@
 const nanosecondsPerMillisecond = 1_000_000;
 
 /** Starts to measure the event loop. */
-export const createEventLoopGauge = (): EventLoopGauge => {
+export const createEventLoopMonitor = (): EventLoopMonitor => {
 	const histogram = monitorEventLoopDelay({resolution});
 	histogram.enable();
 	return {
 		readLag() {
-			const lag = Number.isNaN(histogram.mean) ? 0 : (histogram.mean / nanosecondsPerMillisecond) - resolution;
+			const meanLag = Number.isNaN(histogram.mean) ? 0 : (histogram.mean / nanosecondsPerMillisecond) - resolution;
 			histogram.reset();
-			return Math.max(0, lag);
+			return Math.max(0, meanLag);
 		},
 		stop() {
 			histogram.disable();
--- a/packages/router/src/faults.test.ts
+++ b/packages/router/src/faults.test.ts
@@ -17,7 +17,7 @@
 	await fleet.close();
 });
 
-const ask = async (content: string, maxTokens: number, {host = 0, model = 'counter-8b'} = {}): Promise<Response> =>
+const sendChat = async (content: string, maxTokens: number, {host = 0, model = 'counter-8b'} = {}): Promise<Response> =>
 	fetch(`http://${fleet.hosts[host]?.settings.callerAddress}/v1/chat/completions`, {
 		method: 'POST',
 		headers: {authorization: `Bearer ${fleet.key}`},
@@ -36,7 +36,7 @@
 	.map(event => (JSON.parse(event.slice(6)) as {choices: Array<{delta: {content?: string}}>}).choices[0]?.delta.content ?? '')
 	.join('');
 
-const getEngines = () => [...fleet.standins.engines.values()];
+const getEngines = () => [...fleet.fakes.engines.values()];
 
 type Engine = ReturnType<typeof getEngines>[number];
 
@@ -47,8 +47,8 @@
 const findRunning = () => getEngines().find(engine => engine.getState().running > 0);
 
 test('an answer whose engine crashes goes on at another without a gap or a repeat', async () => {
-	const undisturbed = getText(await readStream(ask('crash in the middle #tokens=120', 200)));
-	const response = await ask('crash in the middle #tokens=120', 200, {host: 1});
+	const undisturbed = getText(await readStream(sendChat('crash in the middle #tokens=120', 200)));
+	const response = await sendChat('crash in the middle #tokens=120', 200, {host: 1});
 	await expect.poll(() => findRunning()?.getState().running).toBe(1);
 	const engine = findRunning();
 	await setFaults(engine, {crash: true, restartAfterMs: 300});
@@ -58,8 +58,8 @@
 });
 
 test('an answer whose connection goes silent goes on at another without a gap or a repeat', async () => {
-	const undisturbed = getText(await readStream(ask('silent in the middle #tokens=120', 200)));
-	const response = await ask('silent in the middle #tokens=120', 200, {host: 1});
+	const undisturbed = getText(await readStream(sendChat('silent in the middle #tokens=120', 200)));
+	const response = await sendChat('silent in the middle #tokens=120', 200, {host: 1});
 	await expect.poll(() => findRunning()?.getState().running).toBe(1);
 	const engine = findRunning();
 	await setFaults(engine, {silent: 'open'});
@@ -74,9 +74,9 @@
 	}
 
 	const before = getEngines().reduce((sum, engine) => sum + engine.getState().crashes, 0);
-	const first = await ask('poison here', 50);
+	const first = await sendChat('poison here', 50);
 	expect(first.headers.get('x-error-kind') ?? (await first.text())).toContain('crashes-upstreams');
-	const resend = await ask('  Poison  HERE ', 50, {host: 1});
+	const resend = await sendChat('  Poison  HERE ', 50, {host: 1});
 	expect(resend.status).toBe(422);
 	await resend.text();
 	const after = getEngines().reduce((sum, engine) => sum + engine.getState().crashes, 0);
@@ -86,7 +86,7 @@
 test('a leaving engine gets nothing new and comes back', async () => {
 	const serving = getEngines().find(engine => engine.getState().holdings.models.includes('reader-14b'));
 	const leaving = serving;
-	const id = [...fleet.standins.engines].find(([, engine]) => engine === leaving)?.[0] ?? '';
+	const id = [...fleet.fakes.engines].find(([, engine]) => engine === leaving)?.[0] ?? '';
 	const operators = `http://${fleet.hosts[0]?.settings.operatorAddress}/operator`;
 	await fetch(`${operators}/upstreams/${id}/drain`, {method: 'POST'});
 	const readStandings = async (host: number): Promise<string[]> => {
@@ -97,7 +97,7 @@
 
 	await expect.poll(async () => readStandings(1)).toEqual(['leaving']);
 	const before = leaving?.getState().received;
-	await Promise.all(Array.from({length: 8}, async (_, index) => readStream(ask(`read ${index}`, 5, {model: 'reader-14b', host: index % 2}))));
+	await Promise.all(Array.from({length: 8}, async (_, index) => readStream(sendChat(`read ${index}`, 5, {model: 'reader-14b', host: index % 2}))));
 	expect(leaving?.getState().received).toBe(before);
 	await fetch(`${operators}/upstreams/${id}/undrain`, {method: 'POST'});
 	await expect.poll(async () => readStandings(1)).toEqual(['available']);
--- a/packages/router/src/parts.ts
+++ b/packages/router/src/host-context.ts
@@ -7,12 +7,12 @@
 	Account, ConfigurationVersion, CustomerId, HostAnswer, Incarnation, Rank, RequestId, Settings, UpstreamSighting, Zone,
 } from '@gentianlift/types';
 import type {UpstreamClient} from '@gentianlift/upstream';
-import type {Directory} from './directory.js';
+import type {UpstreamDirectory} from './upstream-directory.js';
 import type {Limits} from './limits.js';
-import type {OpenRequests} from './open-requests.js';
+import type {InFlightRequests} from './in-flight-requests.js';
 
 /** What handling a caller's request takes. */
-export type HostParts = {
+export type HostContext = {
 	settings: Settings;
 	incarnation: Incarnation;
 	clock: Clock;
@@ -22,7 +22,7 @@
 	createRequestId: () => RequestId;
 	/** Configuration in force; undefined until the host has one. */
 	getConfiguration: () => ConfigurationVersion | undefined;
-	getDirectory: () => Directory;
+	getDirectory: () => UpstreamDirectory;
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
 	/** Account of a request from this host, another host, or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
@@ -31,7 +31,7 @@
 	getRankLimit: () => Rank | undefined;
 	/** Whether callers are asked to go elsewhere with their next request. */
 	isDraining: () => boolean;
-	open: OpenRequests;
+	inFlightRequests: InFlightRequests;
 	grants: GrantClient;
 	limits: Limits;
 	claims: ClaimClient;
--- a/packages/router/src/host.test.ts
+++ b/packages/router/src/host.test.ts
@@ -44,9 +44,9 @@
 	return await response.json() as Account;
 };
 
-const getGenerated = (): number => [...fleet.standins.engines.values()].reduce((sum, engine) => sum + engine.getState().received, 0);
+const getGenerated = (): number => [...fleet.fakes.engines.values()].reduce((sum, engine) => sum + engine.getState().received, 0);
 
-const getCalls = () => [...fleet.standins.services.values()].flatMap(({calls}) => calls);
+const getCalls = () => [...fleet.fakes.services.values()].flatMap(({calls}) => calls);
 
 test('a whole answer and a stream hold the same text', async () => {
 	const whole = await call('/v1/chat/completions', {body: chat('same text')});
@@ -136,7 +136,7 @@
 test('a booking whose caller leaves still runs, and its account tells', async () => {
 	const aborting = new AbortController();
 	const pending = call('/v1/services/orders/cut-orders', {body: '{"bar":9}', headers: {'idempotency-key': 'left'}, signal: aborting.signal});
-	await expect.poll(() => fleet.standins.keyValue.store.list('claims/').length).toBeGreaterThan(0);
+	await expect.poll(() => fleet.fakes.keyValue.store.list('claims/').length).toBeGreaterThan(0);
 	aborting.abort();
 	await pending.catch(() => undefined);
 	const again = await book('left', '{"bar":9}', 1);
@@ -162,19 +162,19 @@
 });
 
 test('in an outage of the service questions go on and bookings are refused as not run', async () => {
-	Object.assign(fleet.standins.keyValue.faults, {outage: true});
+	Object.assign(fleet.fakes.keyValue.faults, {outage: true});
 	const question = await call('/v1/chat/completions', {body: chat('still there')});
 	const booking = await book('outage', '{"bar":3}');
 	expect(question.status).toBe(200);
 	expect(booking.headers.get('x-ran')).toBe('not-run');
 	expect(await readKind(booking)).toBe('claims-unavailable');
-	Object.assign(fleet.standins.keyValue.faults, {outage: false});
+	Object.assign(fleet.fakes.keyValue.faults, {outage: false});
 	expect(getCalls().filter(({idempotencyKey}) => idempotencyKey === 'outage')).toHaveLength(0);
 	await expect.poll(async () => readKind(await book('outage', '{"bar":3}', 1))).toBe('');
 });
 
 test('a booking whose upstream resets is unknown and isn\'t sent again', async () => {
-	const instances = [...fleet.standins.services.entries()].filter(([id]) => id.includes('orders'));
+	const instances = [...fleet.fakes.services.entries()].filter(([id]) => id.includes('orders'));
 	for (const [, {faults}] of instances) {
 		Object.assign(faults, {loseReplies: 1});
 	}
--- a/packages/router/src/host/account-reader.ts
+++ b/packages/router/src/host/account-reader.ts
@@ -18,7 +18,7 @@
 /** Reads the account of a request from this host, the host that gave its id, or the claim of a booking. */
 export type AccountReader = (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
 
-const getLostAccount = (id: RequestId, customer: CustomerId, at: number): Account => ({
+const createUnknownAccount = (id: RequestId, customer: CustomerId, at: number): Account => ({
 	id,
 	customer,
 	className: '',
@@ -31,19 +31,19 @@
 export const createAccountReader = ({
 	self, accounts, claims, peers, fleet, now,
 }: AccountReaderOptions): AccountReader => async (id, customer) => {
-	const own = accounts.getAccount(id);
+	const localAccount = accounts.getAccount(id);
 	const origin = getRequestOrigin(id);
-	if (own !== undefined || origin === undefined) {
-		return own;
+	if (localAccount !== undefined || origin === undefined) {
+		return localAccount;
 	}
 
-	if (origin.host !== self && !fleet.isGone(origin.host, origin.incarnation)) {
+	if (origin.host !== self && !fleet.hasEnded(origin.host, origin.incarnation)) {
 		const outcome = await peers.readAccount(origin.host, {request: id});
 		if (outcome.kind === 'answered' && outcome.answer.account !== undefined) {
 			return outcome.answer.account;
 		}
 	}
 
-	const read = await claims.readClaimOfRequest(id);
-	return read.kind === 'found' ? getClaimAccount(read.claim, fleet.isGone) : getLostAccount(id, customer, now());
+	const claimResult = await claims.readClaimOfRequest(id);
+	return claimResult.kind === 'found' ? getClaimAccount(claimResult.claim, fleet.hasEnded) : createUnknownAccount(id, customer, now());
 };
--- a/packages/router/src/host/demand.test.ts
+++ b/packages/router/src/host/demand-tracker.test.ts
@@ -2,7 +2,7 @@
 import {createManualClock} from '@gentianlift/clock';
 import type {ClassifiedRequest} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {createDemandRecord} from './demand.js';
+import {createDemandTracker} from './demand-tracker.js';
 
 const getRequest = (id: string): ClassifiedRequest => ({
 	id,
@@ -25,20 +25,20 @@
 
 test('counts what waits and runs, and what was refused for a while', async () => {
 	const clock = createManualClock();
-	const record = createDemandRecord(createAccounts({clock, capacity: 10}), clock);
+	const tracker = createDemandTracker(createAccounts({clock, capacity: 10}), clock);
 	for (const id of ['waits', 'runs', 'refused', 'done']) {
-		record.accounts.open(getRequest(id));
+		tracker.accounts.open(getRequest(id));
 	}
 
-	record.accounts.apply({kind: 'attempt-started', request: 'runs', upstream: 'e'});
-	record.accounts.apply({
+	tracker.accounts.apply({kind: 'attempt-started', request: 'runs', upstream: 'e'});
+	tracker.accounts.apply({
 		kind: 'refused', request: 'refused', error: 'no-upstream', ran: 'not-run',
 	});
-	record.accounts.apply({kind: 'finished', request: 'done', status: 200});
-	expect(record.getDemands()).toMatchObject([{
+	tracker.accounts.apply({kind: 'finished', request: 'done', status: 200});
+	expect(tracker.getDemands()).toMatchObject([{
 		className: 'quote', needs: 'a', running: 1, waiting: 2, target: 1000,
 	}]);
 	await clock.advance(10_000);
-	expect(record.getDemands()).toMatchObject([{running: 1, waiting: 1}]);
-	expect(record.accounts.getAccount('done')).toMatchObject({state: {kind: 'finished'}});
+	expect(tracker.getDemands()).toMatchObject([{running: 1, waiting: 1}]);
+	expect(tracker.accounts.getAccount('done')).toMatchObject({state: {kind: 'finished'}});
 });
--- a/packages/router/src/host/demand.ts
+++ b/packages/router/src/host/demand-tracker.ts
@@ -5,13 +5,13 @@
 } from '@gentianlift/types';
 
 /** Demand of this host's own callers, by class and by model or adapter. */
-export type DemandRecord = {
+export type DemandTracker = {
 	/** The accounts, which tell the record of every request on the way. */
 	accounts: Accounts;
 	getDemands: () => Demand[];
 };
 
-type Item = {
+type TrackedRequest = {
 	className: ClassName;
 	needs: ModelName;
 	rank: number;
@@ -21,14 +21,14 @@
 	refusedUntil: Milliseconds | undefined;
 };
 
-const refusedDuration: Milliseconds = 10_000;
+const refusedRetention: Milliseconds = 10_000;
 const defaultTarget: Milliseconds = 60_000;
 const defaultServiceTime: Milliseconds = 5000;
-const mostItems = 20_000;
+const maxTrackedRequests = 20_000;
 /** Weight of a new service time in the average. */
-const newestWeight = 0.1;
+const serviceTimeSmoothing = 0.1;
 
-const getItem = (request: ClassifiedRequest): Item | undefined => {
+const createTrackedRequest = (request: ClassifiedRequest): TrackedRequest | undefined => {
 	const {work, className, rank, targets} = request;
 	return work.kind === 'generation'
 		? {
@@ -38,27 +38,27 @@
 };
 
 /** Wraps accounts in a record of demand. */
-export const createDemandRecord = (accounts: Accounts, clock: Clock): DemandRecord => {
-	const items = new Map<RequestId, Item>();
+export const createDemandTracker = (accounts: Accounts, clock: Clock): DemandTracker => {
+	const trackedRequests = new Map<RequestId, TrackedRequest>();
 	const serviceTimes = new Map<ClassName, Milliseconds>();
 
-	const finish = (id: RequestId, item: Item): void => {
-		items.delete(id);
-		if (item.startedAt !== undefined) {
-			const known = serviceTimes.get(item.className) ?? defaultServiceTime;
-			serviceTimes.set(item.className, known + ((clock.monotonic() - item.startedAt - known) * newestWeight));
+	const recordEnd = (id: RequestId, trackedRequest: TrackedRequest): void => {
+		trackedRequests.delete(id);
+		if (trackedRequest.startedAt !== undefined) {
+			const previous = serviceTimes.get(trackedRequest.className) ?? defaultServiceTime;
+			serviceTimes.set(trackedRequest.className, previous + ((clock.monotonic() - trackedRequest.startedAt - previous) * serviceTimeSmoothing));
 		}
 	};
 
 	const applyEvent = (event: AccountEvent): void => {
-		const item = items.get(event.request);
-		if (item === undefined) {
+		const trackedRequest = trackedRequests.get(event.request);
+		if (trackedRequest === undefined) {
 			return;
 		}
 
 		switch (event.kind) {
 			case 'attempt-started': {
-				item.startedAt = clock.monotonic();
+				trackedRequest.startedAt = clock.monotonic();
 				break;
 			}
 
@@ -68,7 +68,7 @@
 			}
 
 			case 'refused': {
-				item.refusedUntil = clock.monotonic() + refusedDuration;
+				trackedRequest.refusedUntil = clock.monotonic() + refusedRetention;
 				break;
 			}
 
@@ -76,16 +76,16 @@
 			case 'failed':
 			case 'cancelled':
 			case 'unknown': {
-				finish(event.request, item);
+				recordEnd(event.request, trackedRequest);
 				break;
 			}
 		}
 	};
 
-	const dropOld = (now: Milliseconds): void => {
-		for (const [id, item] of items) {
-			if ((item.refusedUntil ?? Number.POSITIVE_INFINITY) <= now) {
-				items.delete(id);
+	const dropExpired = (now: Milliseconds): void => {
+		for (const [id, trackedRequest] of trackedRequests) {
+			if ((trackedRequest.refusedUntil ?? Number.POSITIVE_INFINITY) <= now) {
+				trackedRequests.delete(id);
 			}
 		}
 	};
@@ -95,9 +95,9 @@
 			...accounts,
 			open(request) {
 				accounts.open(request);
-				const item = getItem(request);
-				if (item !== undefined && items.size < mostItems) {
-					items.set(request.id, item);
+				const trackedRequest = createTrackedRequest(request);
+				if (trackedRequest !== undefined && trackedRequests.size < maxTrackedRequests) {
+					trackedRequests.set(request.id, trackedRequest);
 				}
 			},
 			apply(event) {
@@ -106,9 +106,9 @@
 			},
 		},
 		getDemands() {
-			dropOld(clock.monotonic());
+			dropExpired(clock.monotonic());
 			const demands = new Map<string, Demand>();
-			for (const {className, needs, rank, target, startedAt, refusedUntil} of items.values()) {
+			for (const {className, needs, rank, target, startedAt, refusedUntil} of trackedRequests.values()) {
 				const key = `${className}\n${needs}`;
 				const demand = demands.get(key) ?? {
 					className, needs, rank, running: 0, waiting: 0, target, serviceTime: serviceTimes.get(className) ?? defaultServiceTime,
--- a/packages/router/src/host/poll-upstreams.ts
+++ b/packages/router/src/host/engine-polling.ts
@@ -3,15 +3,15 @@
 	CacheEvent, LoadReport, Milliseconds, UpstreamId,
 } from '@gentianlift/types';
 import type {UpstreamClient} from '@gentianlift/upstream';
-import type {UpstreamEntry} from '../directory.js';
+import type {UpstreamEntry} from '../upstream-directory.js';
 
 /** What polling takes. */
-export type PollOptions = {
+export type EnginePollingOptions = {
 	clock: Clock;
 	random: Random;
 	upstreams: Pick<UpstreamClient, 'readLoad' | 'readCacheEvents'>;
 	/** Engines whose work this host orders. */
-	getOwnEngines: () => UpstreamEntry[];
+	getScheduledEngines: () => UpstreamEntry[];
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
 };
@@ -19,11 +19,11 @@
 const pollInterval: Milliseconds = 500;
 
 /** Polls load reports and cache events of the engines whose work this host orders, so that the number of polls doesn't grow with the fleet. */
-export const startPolls = (options: PollOptions): Cancel => {
-	const {clock, random, upstreams, getOwnEngines} = options;
+export const startEnginePolling = (options: EnginePollingOptions): Cancel => {
+	const {clock, random, upstreams, getScheduledEngines} = options;
 	const {every} = clock;
-	const nextEvents = new Map<UpstreamId, number>();
-	const underWay = new Set<UpstreamId>();
+	const nextEventNumbers = new Map<UpstreamId, number>();
+	const inFlight = new Set<UpstreamId>();
 
 	const poll = async ({id, address}: UpstreamEntry): Promise<void> => {
 		const report = await upstreams.readLoad(address);
@@ -31,27 +31,27 @@
 			options.applyLoadReport(id, report);
 		}
 
-		const page = await upstreams.readCacheEvents(address, nextEvents.get(id) ?? 0);
+		const page = await upstreams.readCacheEvents(address, nextEventNumbers.get(id) ?? 0);
 		if (page !== undefined) {
-			nextEvents.set(id, page.next);
+			nextEventNumbers.set(id, page.next);
 			options.applyCacheEvents(id, page.events);
 		}
 	};
 
-	const pollOnce = async (engine: UpstreamEntry): Promise<void> => {
-		if (underWay.has(engine.id)) {
+	const pollUnlessInFlight = async (engine: UpstreamEntry): Promise<void> => {
+		if (inFlight.has(engine.id)) {
 			return;
 		}
 
-		underWay.add(engine.id);
+		inFlight.add(engine.id);
 		await clock.sleep(random.below(pollInterval / 2));
 		await poll(engine);
-		underWay.delete(engine.id);
+		inFlight.delete(engine.id);
 	};
 
 	return every(pollInterval, () => {
-		for (const engine of getOwnEngines()) {
-			void pollOnce(engine);
+		for (const engine of getScheduledEngines()) {
+			void pollUnlessInFlight(engine);
 		}
 	});
 };
--- a/packages/router/src/host/placement-facts.test.ts
+++ b/packages/router/src/host/fleet-facts.test.ts
@@ -1,7 +1,7 @@
 import {createManualClock} from '@gentianlift/clock';
 import type {HostId, LoadReport, PlacementFacts} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {startFactsOfFleet} from './placement-facts.js';
+import {startFleetFacts} from './fleet-facts.js';
 
 const report: LoadReport = {
 	at: 0, running: 0, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: false,
@@ -16,46 +16,46 @@
 
 const startFacts = (hosts: number, isHolder: () => boolean) => {
 	const clock = createManualClock();
-	const asked: HostId[] = [];
-	const silent = new Set<HostId>();
-	const facts = startFactsOfFleet({
+	const polledHosts: HostId[] = [];
+	const unreachableHosts = new Set<HostId>();
+	const facts = startFleetFacts({
 		clock,
 		self: 'host-0',
 		fleet: {getHosts: () => Array.from({length: hosts}, (_, index) => ({host: `host-${index}`, zone: 'a'}))},
 		peers: {
 			async readPlacementFacts(to) {
-				asked.push(to);
-				return silent.has(to) ? {kind: 'unreachable', reason: ''} : {kind: 'answered', answer: getFacts(to)};
+				polledHosts.push(to);
+				return unreachableHosts.has(to) ? {kind: 'unreachable', reason: ''} : {kind: 'answered', answer: getFacts(to)};
 			},
 		},
 		getOwnFacts: () => getFacts('host-0'),
 		isHolder,
 	});
 	return {
-		clock, asked, silent, facts,
+		clock, polledHosts, unreachableHosts, facts,
 	};
 };
 
 test('the holder knows the demand of all hosts after asking them in turn', async () => {
-	const {clock, asked, facts} = startFacts(100, () => true);
+	const {clock, polledHosts, facts} = startFacts(100, () => true);
 	await clock.advance(1000);
-	expect(asked).toHaveLength(32);
+	expect(polledHosts).toHaveLength(32);
 	await clock.advance(3000);
 	expect(facts.getDemands()).toHaveLength(100);
 	expect(facts.getReports().size).toBe(100);
 });
 
 test('a host that no longer answers is forgotten', async () => {
-	const {clock, silent, facts} = startFacts(3, () => true);
+	const {clock, unreachableHosts, facts} = startFacts(3, () => true);
 	await clock.advance(1000);
-	silent.add('host-2');
+	unreachableHosts.add('host-2');
 	await clock.advance(7000);
 	expect([...facts.getReports().keys()]).toEqual(['engine-of-host-0', 'engine-of-host-1']);
 });
 
 test('a host that doesn\'t plan asks nobody', async () => {
-	const {clock, asked, facts} = startFacts(3, () => false);
+	const {clock, polledHosts, facts} = startFacts(3, () => false);
 	await clock.advance(5000);
-	expect(asked).toEqual([]);
+	expect(polledHosts).toEqual([]);
 	expect(facts.getDemands()).toHaveLength(1);
 });
--- /dev/null
+++ b/packages/router/src/host/fleet-facts.ts
@@ -0,0 +1,71 @@
+import type {Cancel, Clock} from '@gentianlift/clock';
+import type {
+	Demand, HostId, LoadReport, Milliseconds, PeerCalls, PlacementFacts, UpstreamId,
+} from '@gentianlift/types';
+import type {Fleet} from './fleet.js';
+
+/** What all hosts know that decides which models engines should hold, as far as it has reached this host. */
+export type FleetFacts = {
+	getDemands: () => Demand[];
+	getReports: () => ReadonlyMap<UpstreamId, LoadReport>;
+	stop: Cancel;
+};
+
+/** What gathering takes; `isHolder` says whether this host plans, as only the holder asks. */
+export type FleetFactsOptions = {
+	clock: Clock;
+	self: HostId;
+	fleet: Pick<Fleet, 'getHosts'>;
+	peers: Pick<PeerCalls, 'readPlacementFacts'>;
+	getOwnFacts: () => PlacementFacts;
+	isHolder: () => boolean;
+};
+
+type PolledFacts = {facts: PlacementFacts; at: Milliseconds};
+
+const pollInterval: Milliseconds = 1000;
+/** Hosts asked in each interval, which bounds the holder's traffic at any size of the fleet. */
+const hostsPerInterval = 32;
+/** Answers older than this are left out, unless it takes longer to ask all hosts once. */
+const minFactsLifetime: Milliseconds = 5000;
+
+/** Starts to gather facts from hosts in turn. */
+export const startFleetFacts = ({clock, self, fleet, peers, getOwnFacts, isHolder}: FleetFactsOptions): FleetFacts => {
+	const {every} = clock;
+	const polledFacts = new Map<HostId, PolledFacts>();
+	let nextIndex = 0;
+
+	const pollHost = async (host: HostId): Promise<void> => {
+		const outcome = await peers.readPlacementFacts(host, {});
+		if (outcome.kind === 'answered') {
+			polledFacts.set(host, {facts: outcome.answer, at: clock.monotonic()});
+		}
+	};
+
+	const getOtherHosts = (): HostId[] => fleet.getHosts().map(({host}) => host).filter(host => host !== self);
+
+	const pollNextHosts = (): void => {
+		if (!isHolder()) {
+			polledFacts.clear();
+			return;
+		}
+
+		const otherHosts = getOtherHosts();
+		for (let count = 0; count < Math.min(hostsPerInterval, otherHosts.length); count++) {
+			void pollHost(otherHosts[nextIndex++ % otherHosts.length] ?? self);
+		}
+	};
+
+	const getRecentFacts = (): PlacementFacts[] => {
+		const roundDuration = Math.ceil(getOtherHosts().length / hostsPerInterval) * pollInterval;
+		const oldest = clock.monotonic() - Math.max(minFactsLifetime, 2 * roundDuration);
+		const recent = [...polledFacts.values()].filter(({at}) => at >= oldest);
+		return [getOwnFacts(), ...recent.map(({facts}) => facts)];
+	};
+
+	return {
+		getDemands: () => getRecentFacts().flatMap(({demands}) => demands),
+		getReports: () => new Map(getRecentFacts().flatMap(({reports}) => reports.map(({upstream, report}) => [upstream, report]))),
+		stop: every(pollInterval, pollNextHosts),
+	};
+};
--- a/packages/router/src/host/fleet.ts
+++ b/packages/router/src/host/fleet.ts
@@ -16,55 +16,55 @@
 	getOwners: (key: string, count: number) => readonly HostId[];
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
 	/** Whether a run of a host is known to have ended. */
-	isGone: (host: HostId, incarnation: Incarnation) => boolean;
+	hasEnded: (host: HostId, incarnation: Incarnation) => boolean;
 };
 
 /** Creates the questions on top of a list of members. The owners are kept until the list changes. */
-export const createFleet = (getList: () => Member[], timeToLive: Milliseconds, random: Random): Fleet => {
+export const createFleet = (readMembers: () => Member[], timeToLive: Milliseconds, random: Random): Fleet => {
 	let members: Member[] | undefined;
-	let eligible: HostId[] = [];
-	const owners = new Map<string, HostId | undefined>();
+	let eligibleHosts: HostId[] = [];
+	const ownerByKey = new Map<string, HostId | undefined>();
 
 	const refresh = (): void => {
-		const list = getList();
-		if (list === members) {
+		const currentMembers = readMembers();
+		if (currentMembers === members) {
 			return;
 		}
 
-		members = list;
-		const next = getEligibleHosts(list);
-		if (next.join(' ') !== eligible.join(' ')) {
-			eligible = next;
-			owners.clear();
+		members = currentMembers;
+		const nextHosts = getEligibleHosts(currentMembers);
+		if (nextHosts.join(' ') !== eligibleHosts.join(' ')) {
+			eligibleHosts = nextHosts;
+			ownerByKey.clear();
 		}
 	};
 
 	const getOwnerOf = (key: string): HostId | undefined => {
 		refresh();
-		if (!owners.has(key)) {
-			owners.set(key, getOwner(key, eligible));
+		if (!ownerByKey.has(key)) {
+			ownerByKey.set(key, getOwner(key, eligibleHosts));
 		}
 
-		return owners.get(key);
+		return ownerByKey.get(key);
 	};
 
-	const getMember = (host: HostId): Member | undefined => getList().find(member => member.host === host);
+	const getMember = (host: HostId): Member | undefined => readMembers().find(member => member.host === host);
 
 	return {
-		getMembers: getList,
+		getMembers: readMembers,
 		getMember,
 		getOwnerOf,
 		getHosts() {
 			refresh();
-			const known = new Set(eligible);
-			return getList().filter(({host}) => known.has(host));
+			const eligible = new Set(eligibleHosts);
+			return readMembers().filter(({host}) => eligible.has(host));
 		},
 		getOwners(key, count) {
 			refresh();
-			return getOwners(key, eligible, count);
+			return getOwners(key, eligibleHosts, count);
 		},
-		getHostAnswer: zone => getHostAnswer(getList(), zone, timeToLive, random),
-		isGone(host, incarnation) {
+		getHostAnswer: zone => getHostAnswer(readMembers(), zone, timeToLive, random),
+		hasEnded(host, incarnation) {
 			const member = getMember(host);
 			return member !== undefined && (member.incarnation > incarnation || (member.incarnation === incarnation && member.state === 'gone'));
 		},
--- a/packages/router/src/host/graceful-stop.ts
+++ b/packages/router/src/host/graceful-shutdown.ts
@@ -3,7 +3,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Where a host is on its way out. */
-export type StopState
+export type ShutdownState
 	= | {kind: 'serving'}
 	/** Out of the addresses that callers are given, but still serving those that come. */
 		| {kind: 'draining'; since: Milliseconds}
@@ -11,58 +11,58 @@
 		| {kind: 'stopping'; since: Milliseconds};
 
 /** Steps of a graceful shutdown. */
-export type StopSteps = {
+export type ShutdownSteps = {
 	setDraining: (isDraining: boolean) => void;
 	/** Stops to listen for callers. */
 	closeListener: () => void;
 	/** Requests that wait or run here. */
-	getOpenRequests: () => number;
+	getInFlightCount: () => number;
 	/** Ends open requests with `forced-stop`. */
-	cutRequests: () => void;
+	abortRequests: () => void;
 	/** Hands over what the host owns, and ends; resolves when all is stored. */
 	finish: () => Promise<void>;
 	exit: (status: number) => void;
 };
 
 /** Takes a host out of service without cutting a request short. */
-export type GracefulStop = {
+export type GracefulShutdown = {
 	/** Begins; without effect if it has begun. */
-	begin: (reason: string) => StopState;
+	begin: (reason: string) => ShutdownState;
 	/** Takes it back; only while the host still listens. */
-	undo: () => StopState;
+	cancel: () => ShutdownState;
 	/** Cuts open requests and ends the process, on an operator's word. */
-	force: () => StopState;
-	getState: () => StopState;
+	force: () => ShutdownState;
+	getState: () => ShutdownState;
 };
 
 /** What the shutdown takes; `timeToLive` is how long callers may keep an address. */
-export type GracefulStopOptions = {clock: Clock; logger: Logger; timeToLive: Milliseconds; steps: StopSteps};
+export type GracefulShutdownOptions = {clock: Clock; logger: Logger; timeToLive: Milliseconds; steps: ShutdownSteps};
 
 const checkInterval: Milliseconds = 50;
 /** Time beyond the time to live for callers whose clocks or requests are late. */
-const lateCallers: Milliseconds = 500;
+const lateCallerMargin: Milliseconds = 500;
 
 /** Creates the shutdown of a host. */
-export const createGracefulStop = ({clock, logger, timeToLive, steps}: GracefulStopOptions): GracefulStop => {
-	let state: StopState = {kind: 'serving'};
-	let run = 0;
+export const createGracefulShutdown = ({clock, logger, timeToLive, steps}: GracefulShutdownOptions): GracefulShutdown => {
+	let state: ShutdownState = {kind: 'serving'};
+	let shutdownRun = 0;
 	let isForced = false;
 
 	const waitForRequests = async (): Promise<void> => {
-		while (steps.getOpenRequests() > 0) {
+		while (steps.getInFlightCount() > 0) {
 			// eslint-disable-next-line no-await-in-loop -- Waits until the last request has ended, however long it takes.
 			await clock.sleep(checkInterval);
 		}
 	};
 
-	const stop = async (ownRun: number): Promise<void> => {
-		await clock.sleep(timeToLive + lateCallers);
-		if (ownRun !== run) {
+	const runShutdown = async (ownRun: number): Promise<void> => {
+		await clock.sleep(timeToLive + lateCallerMargin);
+		if (ownRun !== shutdownRun) {
 			return;
 		}
 
 		state = {kind: 'stopping', since: clock.monotonic()};
-		logger.info('stopping', {open: steps.getOpenRequests()});
+		logger.info('stopping', {open: steps.getInFlightCount()});
 		steps.closeListener();
 		await waitForRequests();
 		await steps.finish();
@@ -73,20 +73,20 @@
 	return {
 		begin(reason) {
 			if (state.kind === 'serving') {
-				run++;
+				shutdownRun++;
 				state = {kind: 'draining', since: clock.monotonic()};
 				logger.info('draining', {reason});
 				steps.setDraining(true);
-				void stop(run);
+				void runShutdown(shutdownRun);
 			} else {
 				logger.warn('stop-refused', {reason, detail: 'the host is draining and cuts no request; an operator may force it'});
 			}
 
 			return state;
 		},
-		undo() {
+		cancel() {
 			if (state.kind === 'draining') {
-				run++;
+				shutdownRun++;
 				state = {kind: 'serving'};
 				steps.setDraining(false);
 				logger.info('undrained');
@@ -96,12 +96,12 @@
 		},
 		force() {
 			isForced = true;
-			logger.warn('forced-stop', {open: steps.getOpenRequests()});
-			run++;
+			logger.warn('forced-stop', {open: steps.getInFlightCount()});
+			shutdownRun++;
 			steps.setDraining(true);
 			state = {kind: 'stopping', since: clock.monotonic()};
 			steps.closeListener();
-			steps.cutRequests();
+			steps.abortRequests();
 			void waitForRequests().then(steps.finish).then(() => {
 				steps.exit(1);
 			});
--- a/packages/router/src/host/base.ts
+++ b/packages/router/src/host/infrastructure.ts
@@ -4,10 +4,10 @@
 import {createHostListClient, createKeyValueClient, createWeightStoreClient} from '@gentianlift/platform';
 import type {Settings} from '@gentianlift/types';
 import {createUpstreamClient} from '@gentianlift/upstream';
-import {createOpenRequests} from '../open-requests.js';
+import {createInFlightRequests} from '../in-flight-requests.js';
 
 /** Creates what needs no other part: time, chance, records, and the clients of the platform and of upstreams. */
-export const createBase = (settings: Settings) => {
+export const createInfrastructure = (settings: Settings) => {
 	const clock = createSystemClock();
 	const incarnation = clock.now();
 	const platform = {clock, timeout: settings.silenceLimits.platform};
@@ -22,9 +22,9 @@
 		hostList: createHostListClient({...platform, url: settings.hostListUrl}),
 		weightStore: createWeightStoreClient({...platform, url: settings.weightStoreUrl}),
 		upstreams: createUpstreamClient({clock, silenceLimits: settings.silenceLimits}),
-		open: createOpenRequests(),
+		inFlightRequests: createInFlightRequests(),
 	};
 };
 
 /** Parts that need no other part. */
-export type Base = ReturnType<typeof createBase>;
+export type Infrastructure = ReturnType<typeof createInfrastructure>;
--- a/packages/router/src/host/network.ts
+++ b/packages/router/src/host/network.ts
@@ -2,14 +2,14 @@
 import {createConfigurationFollower} from '@gentianlift/distribution';
 import {createMembership, createUdpTransport} from '@gentianlift/membership';
 import {createPeerCalls} from '@gentianlift/peers';
-import type {Base} from './base.js';
+import type {Infrastructure} from './infrastructure.js';
 import {createFleet} from './fleet.js';
 
 /** Creates what a host shares with the others: membership, calls, and the configuration that they pass on. */
-export const createNetwork = (base: Base) => {
+export const createNetwork = (infrastructure: Infrastructure) => {
 	const {
 		settings, incarnation, clock, random, metrics, keyValue,
-	} = base;
+	} = infrastructure;
 	const {
 		host, zone, callerAddress, peerAddress, gossipAddress,
 	} = settings;
@@ -23,7 +23,7 @@
 		seeds: settings.seeds,
 		keys: settings.peerKeys,
 		transport: createUdpTransport(gossipAddress),
-		hostList: base.hostList,
+		hostList: infrastructure.hostList,
 	});
 	const fleet = createFleet(membership.getMembers, settings.addressTimeToLive, random);
 	const peers = createPeerCalls({
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -4,18 +4,18 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {Account, Incarnation, Settings} from '@gentianlift/types';
 import {z} from 'zod';
-import type {Directory} from '../directory.js';
-import type {OpenRequests} from '../open-requests.js';
+import type {UpstreamDirectory} from '../upstream-directory.js';
+import type {InFlightRequests} from '../in-flight-requests.js';
 import type {OperatorCommands} from '../operators/commands/index.js';
 import type {OperatorActions} from '../operators/operator-server.js';
 import type {
 	HostStatus, OperatorQueries, Readiness, UpstreamStatus,
 } from '../operators/queries/index.js';
 import type {Fleet} from './fleet.js';
-import type {GracefulStop} from './graceful-stop.js';
-import type {Orderers} from './orderers.js';
-import type {Overload} from './overload.js';
-import type {UpstreamWatch} from './upstream-watch.js';
+import type {GracefulShutdown} from './graceful-shutdown.js';
+import type {Scheduling} from './scheduling.js';
+import type {OverloadMonitor} from './overload-monitor.js';
+import type {UpstreamMonitor} from './upstream-monitor.js';
 
 /** What the operators' listener answers from. */
 export type OperatorActionsOptions = {
@@ -25,12 +25,12 @@
 	metrics: Metrics;
 	follower: ConfigurationFollower;
 	fleet: Fleet;
-	orderers: Orderers;
-	overload: Overload;
-	watch: UpstreamWatch;
-	graceful: GracefulStop;
-	open: OpenRequests;
-	getDirectory: () => Directory;
+	scheduling: Scheduling;
+	overloadMonitor: OverloadMonitor;
+	upstreamMonitor: UpstreamMonitor;
+	shutdown: GracefulShutdown;
+	inFlightRequests: InFlightRequests;
+	getDirectory: () => UpstreamDirectory;
 	readAccount: (id: string) => Promise<Account | undefined>;
 };
 
@@ -47,9 +47,9 @@
 };
 
 /** Gets whether a host takes requests. */
-export const getReadiness = ({follower, graceful}: Pick<OperatorActionsOptions, 'follower' | 'graceful'>): Readiness => {
-	if (graceful.getState().kind !== 'serving') {
-		return {ready: false, reason: graceful.getState().kind};
+export const getReadiness = ({follower, shutdown}: Pick<OperatorActionsOptions, 'follower' | 'shutdown'>): Readiness => {
+	if (shutdown.getState().kind !== 'serving') {
+		return {ready: false, reason: shutdown.getState().kind};
 	}
 
 	const standing = follower.getStanding();
@@ -70,31 +70,31 @@
 };
 
 const getStatus = (options: OperatorActionsOptions): HostStatus => {
-	const {settings, incarnation, follower, orderers, overload, graceful, open} = options;
-	const {waiting} = orderers.grants.getCounts();
+	const {settings, incarnation, follower, scheduling, overloadMonitor, shutdown, inFlightRequests} = options;
+	const {waiting} = scheduling.grants.getCounts();
 	return {
 		host: settings.host,
 		zone: settings.zone,
 		incarnation,
-		state: graceful.getState().kind === 'serving' ? 'alive' : 'draining',
+		state: shutdown.getState().kind === 'serving' ? 'alive' : 'draining',
 		ready: getReadiness(options).ready,
 		configurationVersion: follower.getCurrent()?.version ?? 0,
 		configurationConfirmed: follower.isConfirmed(),
-		requests: {waiting, running: open.getCount() - waiting},
-		eventLoopLag: overload.getLag(),
+		requests: {waiting, running: inFlightRequests.getCount() - waiting},
+		eventLoopLag: overloadMonitor.getLag(),
 	};
 };
 
-const getUpstreams = ({orderers, fleet, watch, getDirectory}: OperatorActionsOptions): UpstreamStatus[] => {
-	const overviews = new Map(orderers.groupOwner.getOverview().map(overview => [overview.group, overview]));
-	return orderers.getGroups().flatMap(group => group.upstreams.map(({id}) => {
+const getUpstreams = ({scheduling, fleet, upstreamMonitor, getDirectory}: OperatorActionsOptions): UpstreamStatus[] => {
+	const overviews = new Map(scheduling.groupOwner.getOverview().map(overview => [overview.group, overview]));
+	return scheduling.getGroups().flatMap(group => group.upstreams.map(({id}) => {
 		const overview = overviews.get(group.id);
 		return {
 			id,
 			zone: getDirectory().byId.get(id)?.zone ?? '',
 			group: group.id,
 			owner: fleet.getOwnerOf(group.id),
-			standing: watch.getStanding(id),
+			standing: upstreamMonitor.getStanding(id),
 			running: overview?.upstreams.find(({upstream}) => upstream === id)?.running ?? 0,
 			waiting: overview?.ranks.reduce((sum, {waiting}) => sum + waiting, 0) ?? 0,
 		};
@@ -118,18 +118,18 @@
 	},
 });
 
-const createCommands = ({graceful, watch, logger, getDirectory}: OperatorActionsOptions): OperatorCommands => ({
+const createCommands = ({shutdown, upstreamMonitor, logger, getDirectory}: OperatorActionsOptions): OperatorCommands => ({
 	drain(body) {
 		const {force} = parse(drainBody, body);
-		return {state: (force === true ? graceful.force() : graceful.begin('operator')).kind};
+		return {state: (force === true ? shutdown.force() : shutdown.begin('operator')).kind};
 	},
-	undrain: () => ({state: graceful.undo().kind}),
+	undrain: () => ({state: shutdown.cancel().kind}),
 	setUpstreamDrain(upstream, drain) {
 		if (!getDirectory().byId.has(upstream)) {
 			throw createFailure('bad-request', {detail: `No upstream is named ${upstream}.`});
 		}
 
-		watch.setOperatorDrain(upstream, drain);
+		upstreamMonitor.setOperatorDrain(upstream, drain);
 		return {upstream, leaving: drain};
 	},
 	setLogLevel(body) {
--- a/packages/router/src/host/overload.test.ts
+++ b/packages/router/src/host/overload-monitor.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {getRankLimitAt} from './overload.js';
+import {getRankLimitAt} from './overload-monitor.js';
 
 test('an idle host takes all tiers', () => {
 	expect(getRankLimitAt(0, 0.5, 4)).toBeUndefined();
--- a/packages/router/src/host/overload.ts
+++ b/packages/router/src/host/overload-monitor.ts
@@ -1,10 +1,10 @@
 import type {Cancel, Clock} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {Milliseconds, Rank} from '@gentianlift/types';
-import {createEventLoopGauge} from '../event-loop.js';
+import {createEventLoopMonitor} from '../event-loop-monitor.js';
 
 /** Watches how busy the process itself is, so that it sheds by tier before it falls over. */
-export type Overload = {
+export type OverloadMonitor = {
 	/** Lowest rank that is still taken; undefined for all. */
 	getRankLimit: () => Rank | undefined;
 	getLag: () => Milliseconds;
@@ -14,48 +14,48 @@
 };
 
 /** What the watch takes; `getTiers` gives the number of tiers, `getConnections` the share of the callers' connections in use. */
-export type OverloadOptions = {
+export type OverloadMonitorOptions = {
 	clock: Clock;
 	metrics: Metrics;
-	getTiers: () => number;
-	getConnections: () => number;
+	getTierCount: () => number;
+	getConnectionRatio: () => number;
 	getHeapBytes: () => number;
 };
 
-const interval: Milliseconds = 250;
+const sampleInterval: Milliseconds = 250;
 /** Lag at which the lowest tier is refused; each multiple refuses one more. */
-const lagStep: Milliseconds = 100;
+const lagPerTier: Milliseconds = 100;
 const heapLimitBytes = 1024 * 1024 * 1024;
-const fullHeapShare = 0.9;
+const maxHeapRatio = 0.9;
 /** Part of the last lag that stays in the average. */
-const smoothing = 0.5;
+const previousLagWeight = 0.5;
 
 /** Gets the lowest rank that is taken at a lag; the highest tier is taken always. */
-export const getRankLimitAt = (lag: Milliseconds, heapShare: number, tiers: number): Rank | undefined => {
-	const steps = Math.floor(lag / lagStep) + (heapShare > fullHeapShare ? 1 : 0);
-	return steps === 0 ? undefined : Math.max(0, tiers - 1 - steps);
+export const getRankLimitAt = (lag: Milliseconds, heapRatio: number, tierCount: number): Rank | undefined => {
+	const shedTiers = Math.floor(lag / lagPerTier) + (heapRatio > maxHeapRatio ? 1 : 0);
+	return shedTiers === 0 ? undefined : Math.max(0, tierCount - 1 - shedTiers);
 };
 
 /** Starts the watch. */
-export const startOverload = ({clock, metrics, getTiers, getConnections, getHeapBytes}: OverloadOptions): Overload => {
+export const startOverloadMonitor = ({clock, metrics, getTierCount, getConnectionRatio, getHeapBytes}: OverloadMonitorOptions): OverloadMonitor => {
 	const {every} = clock;
-	const gauge = createEventLoopGauge();
+	const eventLoopMonitor = createEventLoopMonitor();
 	let lag: Milliseconds = 0;
 	let heapBytes = getHeapBytes();
-	const cancel = every(interval, () => {
-		lag = (lag * smoothing) + (gauge.readLag() * (1 - smoothing));
+	const cancel = every(sampleInterval, () => {
+		lag = (lag * previousLagWeight) + (eventLoopMonitor.readLag() * (1 - previousLagWeight));
 		metrics.setGauge('event_loop_lag_milliseconds', lag);
 		heapBytes = getHeapBytes();
 		metrics.setGauge('heap_bytes', heapBytes);
 	});
-	const getHeapShare = (): number => heapBytes / heapLimitBytes;
+	const getHeapRatio = (): number => heapBytes / heapLimitBytes;
 	return {
-		getRankLimit: () => getRankLimitAt(lag, getHeapShare(), getTiers()),
+		getRankLimit: () => getRankLimitAt(lag, getHeapRatio(), getTierCount()),
 		getLag: () => lag,
-		getLoad: () => Math.min(1, Math.max(lag / (2 * lagStep), getConnections(), getHeapShare())),
+		getLoad: () => Math.min(1, Math.max(lag / (2 * lagPerTier), getConnectionRatio(), getHeapRatio())),
 		stop() {
 			cancel();
-			gauge.stop();
+			eventLoopMonitor.stop();
 		},
 	};
 };
--- a/packages/router/src/host/peer-handlers.ts
+++ b/packages/router/src/host/peer-handlers.ts
@@ -1,30 +1,30 @@
 import type {Accounts, ClaimOwner} from '@gentianlift/claims';
 import type {ConfigurationFollower} from '@gentianlift/distribution';
 import type {PeerHandlers} from '@gentianlift/types';
-import type {ModelPlacing} from './place-models.js';
-import type {Orderers} from './orderers.js';
+import type {ModelPlacement} from './model-placement.js';
+import type {Scheduling} from './scheduling.js';
 
 /** What answers the calls of other hosts. */
 export type PeerHandlersOptions = {
-	orderers: Orderers;
+	scheduling: Scheduling;
 	claimOwner: ClaimOwner;
 	follower: ConfigurationFollower;
 	accounts: Accounts;
-	placing: Pick<ModelPlacing, 'getOwnFacts'>;
+	modelPlacement: Pick<ModelPlacement, 'getOwnFacts'>;
 };
 
 /** Creates the functions that answer the calls of other hosts. */
-export const createPeerHandlers = ({orderers, claimOwner, follower, accounts, placing}: PeerHandlersOptions): PeerHandlers => ({
-	exchangeGrants: async (from, message) => orderers.groupOwner.handle(from, message),
+export const createPeerHandlers = ({scheduling, claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
+	exchangeGrants: async (from, message) => scheduling.groupOwner.handle(from, message),
 	async pushGrants(_from, message) {
-		orderers.grants.receive(message);
+		scheduling.grants.receive(message);
 		return {received: true};
 	},
-	exchangeQuota: async (from, message) => orderers.quotaOwner.handle(from, message),
+	exchangeQuota: async (from, message) => scheduling.quotaOwner.handle(from, message),
 	claim: claimOwner.claim,
 	settleClaim: claimOwner.settle,
 	readConfiguration: follower.readConfiguration,
-	readPlacementFacts: async () => placing.getOwnFacts(),
+	readPlacementFacts: async () => modelPlacement.getOwnFacts(),
 	async readAccount(_from, {request}) {
 		const account = accounts.getAccount(request);
 		return account === undefined ? {} : {account};
--- a/packages/router/src/host/orderers.ts
+++ b/packages/router/src/host/scheduling.ts
@@ -12,7 +12,7 @@
 import type {Fleet} from './fleet.js';
 
 /** The parts of a host that order work and share limits out. */
-export type Orderers = {
+export type Scheduling = {
 	groupOwner: GroupOwner;
 	grants: GrantClient;
 	quotaOwner: QuotaOwner;
@@ -24,7 +24,7 @@
 };
 
 /** What the orderers take. */
-export type OrderersOptions = {
+export type SchedulingOptions = {
 	settings: Settings;
 	incarnation: Incarnation;
 	clock: Clock;
@@ -36,7 +36,7 @@
 
 const getMechanisms = (names: readonly string[]): Mechanism[] => mechanisms.filter(name => names.includes(name));
 
-const createPush = (self: HostId, peers: PeerCalls, metrics: Metrics, getGrants: () => GrantClient) =>
+const createGrantPush = (self: HostId, peers: PeerCalls, metrics: Metrics, getGrants: () => GrantClient) =>
 	(host: HostId, answer: Parameters<GrantClient['receive']>[0]): void => {
 		if (host === self) {
 			getGrants().receive(answer);
@@ -49,30 +49,30 @@
 	};
 
 /** Creates the parts of a host that order work and share limits out. */
-export const createOrderers = ({settings, incarnation, clock, random, metrics, fleet, peers}: OrderersOptions): Orderers => {
+export const createScheduling = ({settings, incarnation, clock, random, metrics, fleet, peers}: SchedulingOptions): Scheduling => {
 	const {host: self} = settings;
 	const without = getMechanisms(settings.without);
 	let groups: readonly Group[] = [];
 	let limits: ReadonlyMap<string, Limit> = new Map();
-	let current: ConfigurationVersion | undefined;
-	const shared = {
+	let currentVersion: ConfigurationVersion | undefined;
+	const sharedOptions = {
 		clock, random, metrics, self, peers, getHosts: fleet.getHosts, getOwnerOf: fleet.getOwnerOf, getLimits: () => limits,
 	};
-	const groupOwner = createGroupOwner({...shared, without, push: createPush(self, peers, metrics, () => grants)});
+	const groupOwner = createGroupOwner({...sharedOptions, without, push: createGrantPush(self, peers, metrics, () => grants)});
 	const grants: GrantClient = createGrantClient({
-		...shared, incarnation, without, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
+		...sharedOptions, incarnation, without, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
 	});
-	const quotaOwner = createQuotaOwner(shared);
-	const quota = createQuotaClient({...shared, getLocalOwner: () => quotaOwner});
+	const quotaOwner = createQuotaOwner(sharedOptions);
+	const quota = createQuotaClient({...sharedOptions, getLocalOwner: () => quotaOwner});
 	return {
 		groupOwner,
 		grants,
 		quotaOwner,
 		quota,
-		limits: createLimits({quota, budgets: createRetryBudgets(), getConfiguration: () => current?.configuration}),
+		limits: createLimits({quota, budgets: createRetryBudgets(), getConfiguration: () => currentVersion?.configuration}),
 		getGroups: () => groups,
 		applyConfiguration(version) {
-			current = version;
+			currentVersion = version;
 			groups = getGroups(version.configuration);
 			limits = getLimits(version.configuration);
 			groupOwner.applyConfiguration(version);
--- a/packages/router/src/host/start-host.ts
+++ b/packages/router/src/host/start-host.ts
@@ -5,15 +5,15 @@
 import {handleRequest} from '../callers/handle-request.js';
 import {closeServer, listen} from '../listen.js';
 import {createOperatorServer} from '../operators/operator-server.js';
-import type {HostParts} from '../parts.js';
+import type {HostContext} from '../host-context.js';
 import {createRequestIds} from '../request-ids.js';
-import {createBase, type Base} from './base.js';
-import {createGracefulStop, type GracefulStop, type StopSteps} from './graceful-stop.js';
+import {createInfrastructure, type Infrastructure} from './infrastructure.js';
+import {createGracefulShutdown, type GracefulShutdown, type ShutdownSteps} from './graceful-shutdown.js';
 import {createNetwork, type Network} from './network.js';
 import {createOperatorActions, getReadiness} from './operator-actions.js';
-import {startOverload, type Overload} from './overload.js';
+import {startOverloadMonitor, type OverloadMonitor} from './overload-monitor.js';
 import {createPeerHandlers} from './peer-handlers.js';
-import {createWork, type Work} from './work.js';
+import {createRequestHandling, type RequestHandling} from './request-handling.js';
 
 /** A host that listens. */
 export type RunningHost = {
@@ -26,111 +26,114 @@
 type Exit = (status: number) => void;
 
 /** What ends a host beside its parts. */
-type Ending = {
+type ShutdownActions = {
 	/** Stops to listen for callers. */
 	closeListener: () => Promise<void>;
 	/** Stops to listen for operators and other hosts. */
-	closeOthers: () => Promise<void>;
+	closeInternalListeners: () => Promise<void>;
 	exit: Exit;
 };
 
-const loadInterval = 1000;
+const loadIntervalMilliseconds = 1000;
 
-const createOverload = ({clock, metrics, settings, open}: Base, {follower}: Network): Overload => startOverload({
+const createOverloadMonitor = ({clock, metrics, settings, inFlightRequests}: Infrastructure, {follower}: Network): OverloadMonitor => startOverloadMonitor({
 	clock,
 	metrics,
-	getTiers: () => follower.getCurrent()?.configuration.rules.tiers.length ?? 1,
-	getConnections: () => open.getCount() / settings.callerLimits.connections,
+	getTierCount: () => follower.getCurrent()?.configuration.rules.tiers.length ?? 1,
+	getConnectionRatio: () => inFlightRequests.getCount() / settings.callerLimits.connections,
 	getHeapBytes: () => process.memoryUsage.rss(),
 });
 
-const createParts = (base: Base, network: Network, work: Work, {overload, graceful}: {overload: Overload; graceful: () => GracefulStop}): HostParts => ({
-	...base,
-	grants: work.orderers.grants,
-	limits: work.orderers.limits,
-	claims: work.claims.client,
-	accounts: work.accounts,
-	createRequestId: createRequestIds(base.settings.host, base.incarnation),
+const createHostContext = (
+	infrastructure: Infrastructure, network: Network, requestHandling: RequestHandling,
+	{overloadMonitor, getShutdown}: {overloadMonitor: OverloadMonitor; getShutdown: () => GracefulShutdown},
+): HostContext => ({
+	...infrastructure,
+	grants: requestHandling.scheduling.grants,
+	limits: requestHandling.scheduling.limits,
+	claims: requestHandling.claims.client,
+	accounts: requestHandling.accounts,
+	createRequestId: createRequestIds(infrastructure.settings.host, infrastructure.incarnation),
 	getConfiguration: () => network.follower.getStanding() === 'isolated' ? undefined : network.follower.getCurrent(),
-	getDirectory: work.getDirectory,
+	getDirectory: requestHandling.getDirectory,
 	getHostAnswer: network.fleet.getHostAnswer,
-	readAccount: work.readAccount,
-	recordSighting: work.watch.recordSighting,
-	getRankLimit: overload.getRankLimit,
-	isDraining: () => graceful().getState().kind !== 'serving',
+	readAccount: requestHandling.readAccount,
+	recordSighting: requestHandling.upstreamMonitor.recordSighting,
+	getRankLimit: overloadMonitor.getRankLimit,
+	isDraining: () => getShutdown().getState().kind !== 'serving',
 });
 
-const createStopSteps = (base: Base, network: Network, work: Work, {closeListener, closeOthers, exit}: Ending): StopSteps => ({
+const createShutdownSteps = (infrastructure: Infrastructure, network: Network, requestHandling: RequestHandling, {closeListener, closeInternalListeners, exit}: ShutdownActions): ShutdownSteps => ({
 	setDraining: network.membership.setDraining,
 	closeListener() {
 		void closeListener();
 	},
-	getOpenRequests: base.open.getCount,
-	cutRequests() {
-		base.open.cut.abort();
+	getInFlightCount: infrastructure.inFlightRequests.getCount,
+	abortRequests() {
+		infrastructure.inFlightRequests.abortController.abort();
 	},
 	async finish() {
-		const left = await work.claims.client.drain();
+		const left = await requestHandling.claims.client.drain();
 		if (left > 0) {
-			base.logger.error('settlements-not-stored', {left});
+			infrastructure.logger.error('settlements-not-stored', {left});
 		}
 
-		await work.stop();
+		await requestHandling.stop();
 		network.follower.stop();
 		network.membership.stop();
 		network.peers.close();
-		base.upstreams.close();
-		await closeOthers();
+		infrastructure.upstreams.close();
+		await closeInternalListeners();
 	},
 	exit,
 });
 
-const startLoadReports = ({clock}: Base, {membership}: Network, {getLoad}: Overload): void => {
+const startLoadUpdates = ({clock}: Infrastructure, {membership}: Network, {getLoad}: OverloadMonitor): void => {
 	const {every} = clock;
-	every(loadInterval, () => {
+	every(loadIntervalMilliseconds, () => {
 		membership.setLoad(getLoad());
 	});
 };
 
 /** Starts a host by its settings; rejects if one of its addresses can't be used. `exit` ends the process after a shutdown. */
 export const startHost = async (settings: Settings, exit: Exit): Promise<RunningHost> => {
-	const base = createBase(settings);
-	const network = createNetwork(base);
-	const work = createWork(base, network);
-	const overload = createOverload(base, network);
-	const {clock, logger, metrics} = base;
-	const parts = createParts(base, network, work, {overload, graceful: () => graceful});
-	const callers = createCallerServer(settings, metrics, (request, response) => {
-		void handleRequest(parts, request, response);
+	const infrastructure = createInfrastructure(settings);
+	const network = createNetwork(infrastructure);
+	const requestHandling = createRequestHandling(infrastructure, network);
+	const overloadMonitor = createOverloadMonitor(infrastructure, network);
+	const {clock, logger, metrics} = infrastructure;
+	const context = createHostContext(infrastructure, network, requestHandling, {overloadMonitor, getShutdown: () => shutdown});
+	const callerServer = createCallerServer(settings, metrics, (request, response) => {
+		void handleRequest(context, request, response);
 	});
-	const graceful = createGracefulStop({
-		clock, logger, timeToLive: settings.addressTimeToLive, steps: createStopSteps(base, network, work, {
-			closeListener: async () => closeServer(callers),
-			async closeOthers() {
-				operators.close();
-				operators.closeAllConnections();
+	const shutdown = createGracefulShutdown({
+		clock, logger, timeToLive: settings.addressTimeToLive, steps: createShutdownSteps(infrastructure, network, requestHandling, {
+			closeListener: async () => closeServer(callerServer),
+			async closeInternalListeners() {
+				operatorServer.close();
+				operatorServer.closeAllConnections();
 				await peerServer.close();
 			},
 			exit,
 		}),
 	});
 	const actions = createOperatorActions({
-		...base, ...network, ...work, overload, graceful, readAccount: async id => work.readAccount(id, ''),
+		...infrastructure, ...network, ...requestHandling, overloadMonitor, shutdown, readAccount: async id => requestHandling.readAccount(id, ''),
 	});
-	const operators = createOperatorServer(actions);
-	await listen(operators, settings.operatorAddress);
+	const operatorServer = createOperatorServer(actions);
+	await listen(operatorServer, settings.operatorAddress);
 	const peerServer = await startPeerServer({
 		self: settings.host, address: settings.peerAddress, keys: settings.peerKeys, clock, metrics,
-		handlers: createPeerHandlers({...network, ...work, claimOwner: work.claims.owner}),
+		handlers: createPeerHandlers({...network, ...requestHandling, claimOwner: requestHandling.claims.owner}),
 	});
 	await network.membership.start();
-	await listen(callers, settings.callerAddress);
-	startLoadReports(base, network, overload);
+	await listen(callerServer, settings.callerAddress);
+	startLoadUpdates(infrastructure, network, overloadMonitor);
 	await network.follower.start();
-	logger.info('started', {host: settings.host, callers: settings.callerAddress, ready: getReadiness({...network, graceful}).ready});
+	logger.info('started', {host: settings.host, callers: settings.callerAddress, ready: getReadiness({...network, shutdown}).ready});
 	return {
 		stop(reason) {
-			graceful.begin(reason);
+			shutdown.begin(reason);
 		},
 		reportFault(fault) {
 			metrics.count('unhandled_faults_total');
--- a/packages/router/src/host/suspect-notes.test.ts
+++ b/packages/router/src/host/suspect-gossip.test.ts
@@ -3,15 +3,15 @@
 import type {Suspects} from '@gentianlift/policy';
 import type {Note} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {startSuspectNotes} from './suspect-notes.js';
+import {startSuspectGossip} from './suspect-gossip.js';
 
 test('suspects reach another host once, and aren\'t told back', async () => {
 	const clock = createManualClock();
 	const listeners: Array<(note: Note) => void> = [];
-	const told: string[] = [];
+	const published: string[] = [];
 	const createHost = (self: string) => {
 		let suspects: Suspects = new Map();
-		startSuspectNotes({
+		startSuspectGossip({
 			clock,
 			self,
 			membership: {
@@ -20,9 +20,9 @@
 					return () => undefined;
 				},
 				publishNote(content: NoteContent) {
-					told.push(`${self} ${content.key} ${content.value}`);
+					published.push(`${self} ${content.key} ${content.value}`);
 					for (const listener of listeners) {
-						listener({...content, host: self, sequence: told.length});
+						listener({...content, host: self, sequence: published.length});
 					}
 
 					return true;
@@ -51,5 +51,5 @@
 	two.add('f', ['e1', 'e2']);
 	await clock.advance(2000);
 	expect(one.getSuspects().get('f')?.crashes).toEqual(['e1', 'e2']);
-	expect(told).toEqual(['one f e1', 'two f e1,e2']);
+	expect(published).toEqual(['one f e1', 'two f e1,e2']);
 });
--- a/packages/router/src/host/suspect-notes.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -5,57 +5,57 @@
 import type {HostId, Milliseconds, Note} from '@gentianlift/types';
 
 /** What passing suspects on takes. */
-export type SuspectNotesOptions = {
+export type SuspectGossipOptions = {
 	clock: Clock;
 	self: HostId;
 	membership: Pick<Membership, 'onNote' | 'publishNote'>;
 	groupOwner: Pick<GroupOwner, 'applySuspects' | 'getSuspects'>;
 };
 
-const interval: Milliseconds = 500;
-const separator = ',';
+const publishInterval: Milliseconds = 500;
+const crashSeparator = ',';
 
 const getSuspect = ({key, value, duration}: Note, now: Milliseconds): Suspect =>
-	({fingerprint: key, crashes: value.split(separator), expiresAt: now + duration});
+	({fingerprint: key, crashes: value.split(crashSeparator), expiresAt: now + duration});
 
 /**
 Passes suspects of crashes on to all hosts, so that the next owner of a group knows them.
 
 A suspect that was cleared stays with the others as a suspect until it expires: there it runs alone among suspects once more, and is cleared again.
 */
-export const startSuspectNotes = ({clock, self, membership, groupOwner}: SuspectNotesOptions): Cancel => {
+export const startSuspectGossip = ({clock, self, membership, groupOwner}: SuspectGossipOptions): Cancel => {
 	const {every} = clock;
-	const told = new Map<string, number>();
+	const knownCrashes = new Map<string, number>();
 
-	const tell = ({fingerprint, crashes, expiresAt}: Suspect): void => {
-		told.set(fingerprint, crashes.length);
+	const publish = ({fingerprint, crashes, expiresAt}: Suspect): void => {
+		knownCrashes.set(fingerprint, crashes.length);
 		membership.publishNote({
-			topic: 'suspect-request', key: fingerprint, value: crashes.join(separator), duration: expiresAt - clock.now(),
+			topic: 'suspect-request', key: fingerprint, value: crashes.join(crashSeparator), duration: expiresAt - clock.now(),
 		});
 	};
 
-	const cancelTimer = every(interval, () => {
+	const cancelTimer = every(publishInterval, () => {
 		const suspects = groupOwner.getSuspects();
 		for (const suspect of suspects.values()) {
-			if (suspect.crashes.length > (told.get(suspect.fingerprint) ?? 0) && suspect.expiresAt > clock.now()) {
-				tell(suspect);
+			if (suspect.crashes.length > (knownCrashes.get(suspect.fingerprint) ?? 0) && suspect.expiresAt > clock.now()) {
+				publish(suspect);
 			}
 		}
 
-		for (const fingerprint of told.keys()) {
+		for (const fingerprint of knownCrashes.keys()) {
 			if (!suspects.has(fingerprint)) {
-				told.delete(fingerprint);
+				knownCrashes.delete(fingerprint);
 			}
 		}
 	});
-	const cancelNotes = membership.onNote(note => {
+	const cancelListener = membership.onNote(note => {
 		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
-			told.set(note.key, note.value.split(separator).length);
+			knownCrashes.set(note.key, note.value.split(crashSeparator).length);
 			groupOwner.applySuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
 		}
 	});
 	return () => {
 		cancelTimer();
-		cancelNotes();
+		cancelListener();
 	};
 };
--- a/packages/router/src/host/upstream-watch.test.ts
+++ b/packages/router/src/host/upstream-monitor.test.ts
@@ -4,7 +4,7 @@
 import type {GroupOwner} from '@gentianlift/scheduler';
 import type {LoadReport, Note} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {startUpstreamWatch, type UpstreamWatchOptions} from './upstream-watch.js';
+import {startUpstreamMonitor, type UpstreamMonitorOptions} from './upstream-monitor.js';
 
 const leavingReport: LoadReport = {
 	at: 0, running: 1, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: true,
@@ -32,18 +32,18 @@
 		getGroups: () => [],
 		getDirectory: () => ({byId: new Map(), byAddress: new Map()}),
 	};
-	const watch = startUpstreamWatch(options as unknown as UpstreamWatchOptions);
+	const upstreamMonitor = startUpstreamMonitor(options as unknown as UpstreamMonitorOptions);
 	const standings = new Set<string>();
 	for (let second = 0; second < 150; second++) {
-		watch.applyLoadReport('e1', leavingReport);
+		upstreamMonitor.applyLoadReport('e1', leavingReport);
 		// eslint-disable-next-line no-await-in-loop -- Time passes between reports.
 		await clock.advance(1000);
-		standings.add(watch.getStanding('e1'));
+		standings.add(upstreamMonitor.getStanding('e1'));
 	}
 
 	expect([...standings]).toEqual(['leaving']);
 	expect(published.length).toBe(10);
-	watch.applyLoadReport('e1', {...leavingReport, leaving: false});
-	expect(watch.getStanding('e1')).toBe('available');
-	watch.stop();
+	upstreamMonitor.applyLoadReport('e1', {...leavingReport, leaving: false});
+	expect(upstreamMonitor.getStanding('e1')).toBe('available');
+	upstreamMonitor.stop();
 });
--- a/packages/router/src/host/upstream-watch.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -10,10 +10,10 @@
 import type {
 	HostId, HostList, LoadReport, Milliseconds, Note, UpstreamId, UpstreamSighting,
 } from '@gentianlift/types';
-import type {Directory} from '../directory.js';
+import type {UpstreamDirectory} from '../upstream-directory.js';
 
 /** What this host makes of upstreams, from its own traffic, other hosts, load reports, the host list and operators. */
-export type UpstreamWatch = {
+export type UpstreamMonitor = {
 	/** Takes in what an attempt of this host has shown. */
 	recordSighting: (sighting: UpstreamSighting) => void;
 	/** Takes in a load report; one that says the engine is leaving is told to all hosts. */
@@ -25,7 +25,7 @@
 };
 
 /** What the watch takes. */
-export type UpstreamWatchOptions = {
+export type UpstreamMonitorOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
@@ -36,19 +36,19 @@
 	upstreams: Pick<UpstreamClient, 'checkHealth'>;
 	groupOwner: GroupOwner;
 	getGroups: () => readonly Group[];
-	getDirectory: () => Directory;
+	getDirectory: () => UpstreamDirectory;
 };
 
-const reviewInterval: Milliseconds = 200;
-const listInterval: Milliseconds = 1000;
-const failureNoteDuration: Milliseconds = 10_000;
-const leavingNoteDuration: Milliseconds = 30_000;
-const operatorNoteDuration: Milliseconds = 24 * 60 * 60 * 1000;
+const standingCheckInterval: Milliseconds = 200;
+const pollInterval: Milliseconds = 1000;
+const failureLifetime: Milliseconds = 10_000;
+const leavingLifetime: Milliseconds = 30_000;
+const operatorDrainLifetime: Milliseconds = 24 * 60 * 60 * 1000;
 
 const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamSighting['kind']>;
 
 /** Applies the notes of other hosts to the health of upstreams. */
-const applyNote = (health: UpstreamHealth, clock: Clock, note: Note): void => {
+const applyGossip = (health: UpstreamHealth, clock: Clock, note: Note): void => {
 	switch (note.topic) {
 		case 'upstream-failed': {
 			const kind = sightingKinds.find(name => name === note.value);
@@ -73,13 +73,13 @@
 };
 
 /** Passes changes of standing on to the owner of groups. */
-const createReview = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamWatchOptions) => {
-	const told = new Map<UpstreamId, Standing>();
+const createStandingCheck = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamMonitorOptions) => {
+	const reportedStandings = new Map<UpstreamId, Standing>();
 	return (): void => {
 		for (const id of getDirectory().byId.keys()) {
 			const standing = health.getStanding(id);
-			if (standing !== (told.get(id) ?? 'available')) {
-				told.set(id, standing);
+			if (standing !== (reportedStandings.get(id) ?? 'available')) {
+				reportedStandings.set(id, standing);
 				groupOwner.applyStanding(id, standing);
 				logger.info('upstream-standing', {upstream: id, standing});
 			}
@@ -87,7 +87,7 @@
 	};
 };
 
-const startHostListReads = (health: UpstreamHealth, {clock, hostList, getDirectory}: UpstreamWatchOptions): Cancel => {
+const startHostListPolling = (health: UpstreamHealth, {clock, hostList, getDirectory}: UpstreamMonitorOptions): Cancel => {
 	const {every} = clock;
 	const read = async (): Promise<void> => {
 		const hosts = await hostList.readHosts();
@@ -100,27 +100,27 @@
 		}
 	};
 
-	return every(listInterval, () => {
+	return every(pollInterval, () => {
 		void read();
 	});
 };
 
-const startProbes = (health: UpstreamHealth, {clock, self, upstreams, getDirectory}: UpstreamWatchOptions): Cancel => {
+const startProbes = (health: UpstreamHealth, {clock, self, upstreams, getDirectory}: UpstreamMonitorOptions): Cancel => {
 	const {every} = clock;
-	const underWay = new Set<UpstreamId>();
+	const inFlight = new Set<UpstreamId>();
 	const probe = async (id: UpstreamId): Promise<void> => {
 		const address = getDirectory().byId.get(id)?.address;
-		if (address === undefined || underWay.has(id)) {
+		if (address === undefined || inFlight.has(id)) {
 			return;
 		}
 
-		underWay.add(id);
+		inFlight.add(id);
 		const kind = await upstreams.checkHealth(address);
-		underWay.delete(id);
+		inFlight.delete(id);
 		health.record({upstream: id, at: clock.monotonic(), kind}, self);
 	};
 
-	return every(listInterval, () => {
+	return every(pollInterval, () => {
 		for (const id of health.getProbing()) {
 			void probe(id);
 		}
@@ -128,7 +128,7 @@
 };
 
 /** Starts to watch upstreams. */
-export const startUpstreamWatch = (options: UpstreamWatchOptions): UpstreamWatch => {
+export const startUpstreamMonitor = (options: UpstreamMonitorOptions): UpstreamMonitor => {
 	const {
 		clock, random, metrics, self, membership, groupOwner, getGroups,
 	} = options;
@@ -136,39 +136,39 @@
 	const health = createUpstreamHealth({
 		clock, random, metrics, self, getPeers: id => getGroups().find(group => group.upstreams.some(item => item.id === id))?.upstreams.map(item => item.id) ?? [id],
 	});
-	const review = createReview(health, options);
+	const checkStandings = createStandingCheck(health, options);
 
-	const toldAt = new Map<UpstreamId, Milliseconds>();
-	const tellLeaving = (upstream: UpstreamId): void => {
-		toldAt.set(upstream, clock.monotonic());
+	const announcedAt = new Map<UpstreamId, Milliseconds>();
+	const announceLeaving = (upstream: UpstreamId): void => {
+		announcedAt.set(upstream, clock.monotonic());
 		health.setLeaving(upstream, 'upstream', true);
 		membership.publishNote({
-			topic: 'upstream-leaving', key: upstream, value: 'upstream', duration: leavingNoteDuration,
+			topic: 'upstream-leaving', key: upstream, value: 'upstream', duration: leavingLifetime,
 		});
-		review();
+		checkStandings();
 	};
 
 	/** The note of an upstream that goes on leaving is renewed before it ends. */
-	const tellLeavingAgain = (upstream: UpstreamId): void => {
-		const age = clock.monotonic() - (toldAt.get(upstream) ?? Number.NEGATIVE_INFINITY);
-		if (age >= leavingNoteDuration / 2) {
-			tellLeaving(upstream);
+	const renewLeavingAnnouncement = (upstream: UpstreamId): void => {
+		const age = clock.monotonic() - (announcedAt.get(upstream) ?? Number.NEGATIVE_INFINITY);
+		if (age >= leavingLifetime / 2) {
+			announceLeaving(upstream);
 		}
 	};
 
 	health.onEject(({upstream, kind}) => {
 		membership.publishNote({
-			topic: 'upstream-failed', key: upstream, value: kind, duration: failureNoteDuration,
+			topic: 'upstream-failed', key: upstream, value: kind, duration: failureLifetime,
 		});
 	});
 	const cancels = [
 		membership.onNote(note => {
 			if (note.host !== self) {
-				applyNote(health, clock, note);
+				applyGossip(health, clock, note);
 			}
 		}),
-		every(reviewInterval, review),
-		startHostListReads(health, options),
+		every(standingCheckInterval, checkStandings),
+		startHostListPolling(health, options),
 		startProbes(health, options),
 	];
 	return {
@@ -176,16 +176,16 @@
 			metrics.count('upstream_sightings_total', {kind: sighting.kind});
 			health.record({...sighting, at: clock.monotonic()}, self);
 			if (sighting.kind === 'leaving') {
-				tellLeaving(sighting.upstream);
+				announceLeaving(sighting.upstream);
 			}
 		},
 		applyLoadReport(upstream, report) {
 			if (report.leaving) {
 				health.setLeaving(upstream, 'upstream', true);
-				tellLeavingAgain(upstream);
+				renewLeavingAnnouncement(upstream);
 			} else {
 				health.setLeaving(upstream, 'upstream', false);
-				toldAt.delete(upstream);
+				announcedAt.delete(upstream);
 			}
 
 			groupOwner.applyLoadReport(upstream, report);
@@ -193,9 +193,9 @@
 		setOperatorDrain(upstream, isLeaving) {
 			health.setLeaving(upstream, 'operator', isLeaving);
 			membership.publishNote({
-				topic: 'upstream-leaving', key: upstream, value: isLeaving ? 'operator' : 'operator-back', duration: operatorNoteDuration,
+				topic: 'upstream-leaving', key: upstream, value: isLeaving ? 'operator' : 'operator-back', duration: operatorDrainLifetime,
 			});
-			review();
+			checkStandings();
 		},
 		getStanding: health.getStanding,
 		stop() {
--- a/packages/router/src/open-requests.ts
+++ b/packages/router/src/in-flight-requests.ts
@@ -1,17 +1,17 @@
 /** Requests of callers that are under way, so that a host knows when it may stop. */
-export type OpenRequests = {
+export type InFlightRequests = {
 	/** Counts a request; the result is called when it has ended. */
-	open: () => () => void;
+	begin: () => () => void;
 	getCount: () => number;
 	/** Aborted when an operator forces the host to stop. */
-	cut: AbortController;
+	abortController: AbortController;
 };
 
 /** Creates an empty count. */
-export const createOpenRequests = (): OpenRequests => {
+export const createInFlightRequests = (): InFlightRequests => {
 	let count = 0;
 	return {
-		open() {
+		begin() {
 			count++;
 			let isOpen = true;
 			return () => {
@@ -20,6 +20,6 @@
 			};
 		},
 		getCount: () => count,
-		cut: new AbortController(),
+		abortController: new AbortController(),
 	};
 };
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,5 +1,5 @@
 export {startHost, type RunningHost} from './host/start-host.js';
-export {getRankLimitAt} from './host/overload.js';
+export {getRankLimitAt} from './host/overload-monitor.js';
 export {
-	createGracefulStop, type GracefulStop, type StopState, type StopSteps,
-} from './host/graceful-stop.js';
+	createGracefulShutdown, type GracefulShutdown, type ShutdownState, type ShutdownSteps,
+} from './host/graceful-shutdown.js';
--- a/packages/router/src/limits.ts
+++ b/packages/router/src/limits.ts
@@ -14,9 +14,9 @@
 /** Limits that hold over all hosts. */
 export type Limits = {
 	/** Takes a request into account; `release` tells its end and the tokens that it used. */
-	take: (customer: Customer, request: ClassifiedRequest) => Promise<LimitDecision>;
+	acquire: (customer: Customer, request: ClassifiedRequest) => Promise<LimitDecision>;
 	/** Takes one retry of a class's budget; false if none is left. */
-	takeRetry: (request: ClassifiedRequest) => boolean;
+	acquireRetry: (request: ClassifiedRequest) => boolean;
 };
 
 /** What the limits are made of. */
@@ -26,7 +26,7 @@
 	getConfiguration: () => Configuration | undefined;
 };
 
-const getError = (limit: string): Extract<LimitDecision, {kind: 'refused'}>['error'] => {
+const getErrorKind = (limit: string): Extract<LimitDecision, {kind: 'refused'}>['error'] => {
 	if (limit.startsWith('tokens:')) {
 		return 'customer-tokens';
 	}
@@ -36,7 +36,7 @@
 
 /** Creates the limits of customers and the retry budgets of classes. Tokens are counted when they are known, so a customer may overrun its rate by the answers under way. */
 export const createLimits = ({quota, budgets, getConfiguration}: LimitsOptions): Limits => ({
-	async take(customer, request) {
+	async acquire(customer, request) {
 		const requests = getRequestLimit(customer.id);
 		const concurrency = getConcurrencyLimit(customer.id);
 		const tokens = getTokenLimit(customer.id);
@@ -46,18 +46,18 @@
 			{limit: tokens, amount: 0},
 		]);
 		if (decision.kind === 'refused') {
-			return {kind: 'refused', error: getError(decision.limit), retryAfter: decision.retryAfter};
+			return {kind: 'refused', error: getErrorKind(decision.limit), retryAfter: decision.retryAfter};
 		}
 
-		const found = getConfiguration()?.rules.classes.find(({name}) => name === request.className);
-		budgets.applyRequest(request.className, found?.retryShare ?? 0);
+		const requestClass = getConfiguration()?.rules.classes.find(({name}) => name === request.className);
+		budgets.applyRequest(request.className, requestClass?.retryShare ?? 0);
 		return {
 			kind: 'taken',
-			release(used) {
+			release(usedTokens) {
 				quota.release(concurrency, 1);
-				quota.use(tokens, used);
+				quota.use(tokens, usedTokens);
 			},
 		};
 	},
-	takeRetry: ({className}) => budgets.takeRetry(className),
+	acquireRetry: ({className}) => budgets.takeRetry(className),
 });
--- a/packages/router/src/operators/operator-server.ts
+++ b/packages/router/src/operators/operator-server.ts
@@ -2,7 +2,7 @@
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
 import {createFailure, getFailure} from '@gentianlift/errors';
-import {sendFailure, sendJson} from '../callers/answer.js';
+import {sendFailure, sendJson} from '../callers/send-response.js';
 import type {OperatorCommands} from './commands/index.js';
 import type {OperatorQueries} from './queries/index.js';
 
@@ -15,20 +15,20 @@
 type Route = {
 	method: 'GET' | 'POST';
 	path: RegExp;
-	run: (actions: OperatorActions, call: {parts: string[]; body: unknown}) => unknown;
+	run: (actions: OperatorActions, call: {parameters: string[]; body: unknown}) => unknown;
 };
 
-const longestBodyBytes = 64 * 1024;
+const maxBodyCharacters = 64 * 1024;
 
 const routes: Route[] = [
 	{method: 'GET', path: /^\/health$/v, run: ({queries}) => queries.getHealth()},
 	{method: 'GET', path: /^\/operator\/status$/v, run: ({queries}) => queries.getStatus()},
 	{method: 'GET', path: /^\/operator\/hosts$/v, run: ({queries}) => queries.getHosts()},
 	{method: 'GET', path: /^\/operator\/upstreams$/v, run: ({queries}) => queries.getUpstreams()},
-	{method: 'GET', path: /^\/operator\/requests\/([^\/]+)$/v, run: async ({queries}, {parts}) => queries.readAccount(parts[0] ?? '')},
+	{method: 'GET', path: /^\/operator\/requests\/([^\/]+)$/v, run: async ({queries}, {parameters}) => queries.readAccount(parameters[0] ?? '')},
 	{method: 'POST', path: /^\/operator\/drain$/v, run: ({commands}, {body}) => commands.drain(body)},
 	{method: 'POST', path: /^\/operator\/undrain$/v, run: ({commands}) => commands.undrain()},
-	{method: 'POST', path: /^\/operator\/upstreams\/([^\/]+)\/(drain|undrain)$/v, run: ({commands}, {parts}) => commands.setUpstreamDrain(parts[0] ?? '', parts[1] === 'drain')},
+	{method: 'POST', path: /^\/operator\/upstreams\/([^\/]+)\/(drain|undrain)$/v, run: ({commands}, {parameters}) => commands.setUpstreamDrain(parameters[0] ?? '', parameters[1] === 'drain')},
 	{method: 'POST', path: /^\/operator\/log-level$/v, run: ({commands}, {body}) => commands.setLogLevel(body)},
 ];
 
@@ -36,7 +36,7 @@
 	let text = '';
 	for await (const part of request) {
 		text += String(part);
-		if (text.length > longestBodyBytes) {
+		if (text.length > maxBodyCharacters) {
 			throw createFailure('body-too-large');
 		}
 	}
@@ -62,7 +62,7 @@
 	response.end(actions.queries.getMetrics());
 };
 
-const answer = async (actions: OperatorActions, request: IncomingMessage, response: ServerResponse): Promise<void> => {
+const handleRequest = async (actions: OperatorActions, request: IncomingMessage, response: ServerResponse): Promise<void> => {
 	const path = new URL(request.url ?? '/', 'http://operators').pathname;
 	if (request.method === 'GET' && path === '/ready') {
 		sendReadiness(actions, response);
@@ -75,13 +75,13 @@
 	}
 
 	for (const route of routes) {
-		const match = route.path.exec(path);
-		if (match !== null && route.method === request.method) {
-			const parts = match.slice(1).map(part => decodeURIComponent(part));
+		const pathMatch = route.path.exec(path);
+		if (pathMatch !== null && route.method === request.method) {
+			const parameters = pathMatch.slice(1).map(part => decodeURIComponent(part));
 			// eslint-disable-next-line no-await-in-loop -- At most one route matches.
 			const body = await readJson(request);
 			// eslint-disable-next-line no-await-in-loop -- At most one route matches.
-			sendJson(response, 200, await route.run(actions, {parts, body}));
+			sendJson(response, 200, await route.run(actions, {parameters, body}));
 			return;
 		}
 	}
@@ -91,7 +91,7 @@
 
 /** Creates the operators' HTTP server; it isn't listening yet. */
 export const createOperatorServer = (actions: OperatorActions): Server => createServer((request, response) => {
-	answer(actions, request, response).catch((error: unknown) => {
+	handleRequest(actions, request, response).catch((error: unknown) => {
 		sendFailure(response, getFailure(error), '');
 	});
 });
--- a/packages/router/src/stopping.test.ts
+++ b/packages/router/src/shutdown.test.ts
@@ -11,18 +11,18 @@
 	const [leaving, staying] = fleet.hosts;
 	const callers = `http://${leaving?.settings.callerAddress}`;
 	const operators = `http://${leaving?.settings.operatorAddress}`;
-	const ask = async () => fetch(`${callers}/v1/chat/completions`, {
+	const sendChat = async () => fetch(`${callers}/v1/chat/completions`, {
 		method: 'POST',
 		headers: {authorization: `Bearer ${fleet.key}`},
 		body: JSON.stringify({
 			model: 'counter-8b', max_tokens: 200, stream: true, messages: [{role: 'user', content: 'long answer #tokens=200'}],
 		}),
 	});
-	const running = await ask();
+	const running = await sendChat();
 	leaving?.stop('test');
 	leaving?.stop('again');
 	expect(await readStatus(`${operators}/ready`)).toBe(503);
-	const late = await ask();
+	const late = await sendChat();
 	expect(late.headers.get('connection')).toBe('close');
 	const readHosts = async (): Promise<string[]> => {
 		const answer = await fetch(`http://${staying?.settings.callerAddress}/v1/hosts`);
--- a/packages/router/src/testing/start-fleet.ts
+++ b/packages/router/src/testing/start-fleet.ts
@@ -15,7 +15,7 @@
 
 /** Stand-ins and hosts in this process, for tests. */
 export type TestFleet = {
-	standins: Standins;
+	fakes: Standins;
 	configuration: Configuration;
 	hosts: TestHost[];
 	/** Key of a customer that may use all classes of the Kopi example. */
@@ -35,12 +35,12 @@
 };
 
 const start = async (settings: Settings): Promise<TestHost> => {
-	const exits: Array<(status: number) => void> = [];
+	const exitListeners: Array<(status: number) => void> = [];
 	const ended = new Promise<number>(resolve => {
-		exits.push(resolve);
+		exitListeners.push(resolve);
 	});
 	const host = await startHost(settings, status => {
-		exits[0]?.(status);
+		exitListeners[0]?.(status);
 	});
 	return {...host, settings, ended};
 };
@@ -48,19 +48,19 @@
 /** Starts the Kopi example with some hosts; `extra` settings are shared by all. */
 export const startFleet = async (count: number, extra: Partial<Settings> = {}): Promise<TestFleet> => {
 	const {configuration: example, keys} = await readExample('kopi');
-	const standins = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
-	const configuration = getStandinConfiguration(example, standins.addresses);
-	publishConfiguration(standins.keyValue, configuration, createSystemClock().now());
-	const documents = getFleetSettings({
+	const fakes = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
+	const configuration = getStandinConfiguration(example, fakes.addresses);
+	publishConfiguration(fakes.keyValue, configuration, createSystemClock().now());
+	const settingsDocuments = getFleetSettings({
 		zones: ['attica-a', 'attica-b', 'attica-c'],
-		keyValueUrl: standins.keyValue.listener.url,
-		hostListUrl: standins.hostList.listener.url,
-		weightStoreUrl: standins.weightStore.listener.url,
+		keyValueUrl: fakes.keyValue.listener.url,
+		hostListUrl: fakes.hostList.listener.url,
+		weightStoreUrl: fakes.weightStore.listener.url,
 		ports: await findPorts(countPorts(count)),
 	}, {addressTimeToLive: 100, logLevel: 'error', ...extra});
-	const hosts = await Promise.all(documents.map(async document => start(parse(document))));
+	const hosts = await Promise.all(settingsDocuments.map(async document => start(parse(document))));
 	return {
-		standins,
+		fakes,
 		configuration,
 		hosts,
 		key: keys.get('faros-steel') ?? '',
@@ -70,7 +70,7 @@
 				await fetch(`http://${settings.operatorAddress}/operator/drain`, {method: 'POST', body: '{"force":true}'}).catch(() => undefined);
 				await ended;
 			}));
-			await standins.close();
+			await fakes.close();
 		},
 	};
 };
--- a/packages/router/src/directory.ts
+++ b/packages/router/src/upstream-directory.ts
@@ -13,13 +13,13 @@
 };
 
 /** Upstreams by name and by address. */
-export type Directory = {
+export type UpstreamDirectory = {
 	byId: ReadonlyMap<UpstreamId, UpstreamEntry>;
 	byAddress: ReadonlyMap<Address, UpstreamEntry>;
 };
 
 /** Gets the upstreams of a configuration. */
-export const getDirectory = ({inventory}: Configuration): Directory => {
+export const createUpstreamDirectory = ({inventory}: Configuration): UpstreamDirectory => {
 	const engines = inventory.engines.map(({id, address, zone, fencing}): UpstreamEntry => ({
 		id, kind: 'engine', address, zone, fencing,
 	}));
