--- a/packages/router/src/dispatch/call-attempt.ts
+++ b/packages/router/src/dispatch/call-attempt.ts
@@ -5,19 +5,19 @@
 import type {HostContext} from '../host-context.js';
 import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
 
-/** Where a service's answer goes. */
+/** Receiver of a service's response: its head, then its body. */
 export type ResponseReceiver = ResponseWriter & {
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 };
 
-/** How one attempt of a call ended. */
+/** Outcome of one attempt of a call. */
 export type CallAttemptEnd
 	= | {kind: 'finished'; status: number; contentType: string | undefined; body: string | undefined}
-	/** The answer had begun; what has reached the caller can't be taken back. */
-		| {kind: 'cut'; lost: FailedAttempt}
+	/** The connection failed after the response had begun. The attempt isn't retried, because the caller has received a part of it. */
+		| {kind: 'cut'; failure: FailedAttempt}
 		| FailedAttempt;
 
-/** Longest body of an answer that is kept for resends, in bytes. */
+/** Largest response body that is stored for replay to a repeated request, in bytes. */
 export const maxStoredBodyBytes = 4096;
 
 const createBodyBuffer = () => {
@@ -35,9 +35,9 @@
 };
 
 /**
-Makes a call to one upstream and hands its answer to the reader. Never throws.
+Calls one upstream and streams its response to the receiver. Never throws.
 
-With `outlivesReader` the answer is read to its end even if the reader has gone.
+With `readsToEnd` the response is read to its end even if the receiver no longer accepts data.
 */
 export const runCallAttempt = async (context: HostContext, call: ServiceCall, receiver: ResponseReceiver, readsToEnd: boolean): Promise<CallAttemptEnd> => {
 	const response = await context.upstreams.callService(call);
@@ -56,7 +56,7 @@
 
 	const outcome = await response.outcome;
 	if (outcome.kind !== 'finished') {
-		return {kind: 'cut', lost: {...getFailedAttempt(outcome), ran: 'ran', error: 'answer-incomplete'}};
+		return {kind: 'cut', failure: {...getFailedAttempt(outcome), ran: 'ran', error: 'answer-incomplete'}};
 	}
 
 	const contentType = response.headers['content-type'];
--- a/packages/router/src/dispatch/failed-attempt.ts
+++ b/packages/router/src/dispatch/failed-attempt.ts
@@ -4,15 +4,17 @@
 	Address, AttemptOutcome, Milliseconds, RunState, UpstreamSighting,
 } from '@gentianlift/types';
 
-/** An attempt that gave no whole answer, in the words of accounts, errors and sightings. */
+/** Attempt that ended without a complete answer, described for the account, the caller's error and the health record of the upstream. */
 export type FailedAttempt = {
 	kind: 'lost';
 	error: ErrorKind;
 	outcome: AttemptOutcome;
+	/** What the failure says about the health of the upstream; undefined if nothing. */
 	sighting: UpstreamSighting['kind'] | undefined;
+	/** Whether the upstream executed the request, as far as the router can tell. */
 	ran: RunState;
 	retryAfter?: Milliseconds;
-	/** What the upstream says to the caller of a request that it rejects; another upstream would say the same. */
+	/** Upstream's message for a request that it rejected; there is no retry, since any other upstream would reject it too. */
 	rejection?: string;
 };
 
@@ -48,7 +50,7 @@
 } as const satisfies Record<CallFailure['kind'], ErrorKind>;
 
 const maxRejectionCharacters = 500;
-/** Statuses that tell of the upstream's state and not of the request. */
+/** Client error statuses that are caused by the state of the upstream and not by the request. */
 const transientStatuses = new Set([408, 425, 429]);
 
 const getRejection = (failure: CallFailure): string | undefined => {
@@ -56,7 +58,7 @@
 	return isRejection ? failure.text.slice(0, maxRejectionCharacters) : undefined;
 };
 
-/** Gets the end of an attempt whose call failed before its answer started. */
+/** Returns the description of an attempt whose call failed. */
 export const getFailedAttempt = (failure: CallFailure): FailedAttempt => {
 	const rejection = getRejection(failure);
 	return {
@@ -70,7 +72,7 @@
 	};
 };
 
-/** Tells a crash from a lost connection: after a reset, an upstream that crashed refuses new connections. */
+/** Tells a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
 export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: FailedAttempt): Promise<FailedAttempt> => {
 	if (failure.sighting !== 'reset') {
 		return failure;
--- a/packages/router/src/dispatch/generation-attempt.ts
+++ b/packages/router/src/dispatch/generation-attempt.ts
@@ -4,28 +4,29 @@
 import type {HostContext} from '../host-context.js';
 import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
 
-/** A generation to run at one engine. */
+/** Generation to run on one engine. */
 export type GenerationAttempt = {
 	request: ClassifiedRequest;
 	address: Address;
 	priority: number;
-	/** The caller's body; the router always asks the engine for a stream. */
+	/** Request body from the caller; the router always requests a streamed response from the engine. */
 	body: Record<string, unknown>;
+	/** Output of earlier attempts to continue from. */
 	resume: Resume | undefined;
-	/** Aborted when the caller has gone, or an operator forces the host to stop. */
+	/** Aborted when the caller has disconnected, or when an operator forces the host to stop. */
 	stopSignal: AbortSignal;
-	/** Aborted when a higher tier needs the slot. */
+	/** Aborted when a request of a higher tier preempts this one. */
 	preemptionSignal: AbortSignal;
-	/** Takes whole events. */
+	/** Receives complete events only. */
 	writer: ResponseWriter;
 };
 
-/** How one attempt of a generation ended. */
+/** Outcome of one attempt of a generation. */
 export type GenerationAttemptEnd = {
-	/** Output of this attempt alone. */
+	/** Output of this attempt, without that of earlier ones. */
 	text: string;
 	tokens: number;
-	/** Time up to the first token, counted from the start of the attempt. */
+	/** Time to first token, from the start of the attempt. */
 	firstTokenAfter: Milliseconds | undefined;
 	result:
 		| {kind: 'finished'; finishReason: string | undefined; promptTokens: number | undefined}
@@ -64,7 +65,7 @@
 	return preemptionSignal.aborted ? {kind: 'yielded'} : getFailure(outcome);
 };
 
-/** Joins signals that outlive an attempt; `release` lets go of them, which a composite signal would do only with the garbage collector. */
+/** Combines signals that outlive an attempt. Unlike `AbortSignal.any`, whose listeners stay until garbage collection, `release` removes them at once. */
 const joinSignals = (signals: readonly AbortSignal[]) => {
 	const controller = new AbortController();
 	const abort = (): void => {
@@ -89,7 +90,7 @@
 	};
 };
 
-/** Runs a generation at one engine and hands its events to the reader. Never throws. */
+/** Runs a generation on one engine and streams its events to the writer. Never throws. */
 export const runGenerationAttempt = async (context: HostContext, attempt: GenerationAttempt): Promise<GenerationAttemptEnd> => {
 	const {request, address, priority, body, resume, stopSignal, preemptionSignal, writer} = attempt;
 	const startedAt = context.clock.monotonic();
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -5,7 +5,7 @@
 import type {HostContext} from '../host-context.js';
 import type {FailedAttempt} from './failed-attempt.js';
 
-/** Joins what is known of several attempts: the request ran if any did, and may have run if any may. */
+/** Combines the run states of two attempts: the request ran if either did, and its state is unknown if either is unknown and neither ran. */
 export const joinRunStates = (one: RunState, other: RunState): RunState => {
 	if (one === 'ran' || other === 'ran') {
 		return 'ran';
@@ -14,7 +14,7 @@
 	return one === 'unknown' || other === 'unknown' ? 'unknown' : 'not-run';
 };
 
-/** Asks for an upstream, and takes the request back when `stop` is aborted first. */
+/** Requests a grant for an upstream, and withdraws the request if `stopSignal` is aborted before the grant arrives. */
 export const acquireUpstream = async (context: HostContext, request: ClassifiedRequest, stopSignal: AbortSignal, options: AskOptions): Promise<Grant> => {
 	if (stopSignal.aborted) {
 		return {kind: 'withdrawn'};
@@ -32,10 +32,11 @@
 	}
 };
 
-/** The end of an attempt, for the owner of the group, the account, and the health of the upstream. */
+/** End of an attempt, as reported to the owner of the group, the account of the request and the health record of the upstream. */
 export type AttemptRecord = {
 	request: ClassifiedRequest;
 	upstream: UpstreamId;
+	/** Number of the attempt within the request, from 1. */
 	attempt: number;
 	kind: TicketEnd['kind'];
 	failure: FailedAttempt | undefined;
@@ -49,7 +50,7 @@
 	finished: 'finished', failed: 'failed', cancelled: 'cancelled', preempted: 'preempted', withdrawn: 'cancelled',
 } as const;
 
-/** Tells everybody concerned how an attempt ended, and gives its slot back. */
+/** Releases the slot of an attempt and records its outcome in the account of the request and the health record of the upstream. */
 export const recordAttemptEnd = (context: HostContext, record: AttemptRecord): void => {
 	const {request, upstream, failure, tokens} = record;
 	context.grants.end({
--- a/packages/router/src/dispatch/run-call.ts
+++ b/packages/router/src/dispatch/run-call.ts
@@ -11,25 +11,26 @@
 } from './call-attempt.js';
 import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
 
-/** A call to a service, to run to its end. */
+/** Call to a service, with everything that its attempts need. */
 export type CallRun = {
 	request: ClassifiedRequest;
 	method: string;
-	/** Path at the service, with its query. */
+	/** Path at the service, with the query string. */
 	path: string;
 	headers: OutgoingHttpHeaders;
 	body: Uint8Array;
-	/** Aborted when the caller has gone. A non-idempotent call goes on all the same once it was sent. */
+	/** Aborted when the caller has disconnected. A non-idempotent call continues nevertheless once it has been sent. */
 	callerGone: AbortSignal;
 	receiver: ResponseReceiver;
 };
 
-/** Outcome of a call. */
+/** Outcome of a call after its last attempt. */
 export type CallResult
 	= | {kind: 'finished'; status: number; contentType: string | undefined; body: string | undefined; upstream: UpstreamId}
 		| {kind: 'stopped'; ran: RunState}
 		| {kind: 'failed'; failure: RequestFailure};
 
+/** Result of the attempts so far; `avoid` lists the upstreams that failed. */
 type Progress = {attempts: number; ran: RunState; avoid: UpstreamId[]};
 
 const createFailedResult = (failure: FailedAttempt, ran: RunState): CallResult => ({
@@ -37,6 +38,7 @@
 	failure: createFailure(failure.error, {ran, ...(failure.retryAfter !== undefined && {retryAfter: failure.retryAfter})}),
 });
 
+/** Decides whether a failed attempt is retried, and if so waits for the backoff delay. */
 const prepareRetry = async (context: HostContext, run: CallRun, progress: Progress, failure: FailedAttempt): Promise<boolean> => {
 	const {request} = run;
 	const decision = decideRetry({
@@ -65,7 +67,7 @@
 		}
 
 		case 'cut': {
-			return end.lost;
+			return end.failure;
 		}
 
 		case 'lost': {
@@ -103,6 +105,7 @@
 	return end;
 };
 
+/** Runs one attempt; returns the result of the call, or the progress from which it is retried. */
 const runAttemptAndDecide = async (context: HostContext, run: CallRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<CallResult | Progress> => {
 	const end = await runAttempt(context, run, progress, grant);
 	const {upstream} = grant;
@@ -112,7 +115,7 @@
 		}
 
 		case 'cut': {
-			return run.callerGone.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.lost, 'ran');
+			return run.callerGone.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.failure, 'ran');
 		}
 
 		case 'lost': {
@@ -126,7 +129,7 @@
 	}
 };
 
-/** Runs a call: asks for an upstream, and tries another where the call was not run or is idempotent. */
+/** Runs a call: acquires an upstream, and retries on another one if the call did not execute or is idempotent. */
 export const runCall = async (context: HostContext, run: CallRun): Promise<CallResult> => {
 	let progress: Progress = {attempts: 0, ran: 'not-run', avoid: []};
 	for (;;) {
--- a/packages/router/src/dispatch/run-claimed.ts
+++ b/packages/router/src/dispatch/run-claimed.ts
@@ -4,20 +4,20 @@
 } from '@gentianlift/types';
 import type {HostContext} from '../host-context.js';
 
-/** How a claimed request ended, for its claim and for its caller. */
+/** Outcome of a request that ran under a claim. */
 export type ClaimedRequestEnd
 	= | {kind: 'finished'; upstream?: UpstreamId; status: number; contentType?: string; body?: string}
 		| {kind: 'failed'; upstream?: UpstreamId; failure: RequestFailure};
 
-/** What the caller of a non-idempotent request gets. */
+/** Result for the caller of a non-idempotent request. */
 export type ClaimedRequestResult
-	/** The request ran now; its answer has been relayed. */
+	/** The request ran under this claim; its response has already been sent. */
 	= | {kind: 'relayed'}
-	/** The request had ended before; this is its stored outcome. */
+	/** An earlier request under the same key has finished; this is its stored outcome. */
 		| {kind: 'stored'; claim: Claim; outcome: Extract<ClaimOutcome, {kind: 'finished'}>}
 		| {kind: 'failed'; failure: RequestFailure};
 
-/** Longest wait of a resend for the request that is under way. */
+/** Maximum wait of a repeated request for the one that is in flight under the same key. */
 const joinTimeout: Milliseconds = 10_000;
 
 const getOutcome = (end: ClaimedRequestEnd): ClaimOutcome => {
@@ -75,7 +75,7 @@
 	return {kind: 'failed', failure: createFailure(kind, {detail: `Request: ${claim.request}.`})};
 };
 
-/** Runs a non-idempotent request under its claim: `run` is called at most once, and only after the claim is stored. */
+/** Runs a non-idempotent request under its claim: `run` is called at most once, and only after the claim has been stored. */
 export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, run: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
 	const key = {customer: request.customer, key: request.idempotencyKey ?? ''};
 	const decision = await context.claims.join({
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -10,43 +10,45 @@
 import {runGenerationAttempt, type GenerationAttemptEnd} from './generation-attempt.js';
 import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
 
-/** A generation to run to its end, over as many engines as it takes. */
+/** Generation, with everything that its attempts need. */
 export type GenerationRun = {
 	request: ClassifiedRequest;
 	body: Record<string, unknown>;
-	/** Bytes that the request holds while it waits. */
+	/** Memory that the request occupies while it is queued, in bytes. */
 	bytes: number;
 	stopSignal: AbortSignal;
 	writer: ResponseWriter;
 };
 
-/** Outcome of a generation. */
+/** Outcome of a generation after its last attempt. */
 export type GenerationResult
 	= | {kind: 'finished'; text: string; tokens: number; finishReason: string | undefined; promptTokens: number | undefined}
 		| {kind: 'stopped'; ran: RunState; tokens: number}
 		| {kind: 'failed'; failure: RequestFailure; tokens: number};
 
-/** What the attempts so far have come to. */
+/** Accumulated result of the attempts so far. */
 type Progress = {
 	attempts: number;
-	/** Attempts that count against the limit of retries; those that yielded don't. */
+	/** Attempts that count towards the retry limit; preempted attempts don't. */
 	countedAttempts: number;
 	preemptions: number;
 	text: string;
 	tokens: number;
 	ran: RunState;
-	/** Attempts whose upstream crashed. */
+	/** Attempts during which the upstream crashed. */
 	crashes: number;
+	/** Upstreams on which an attempt failed. */
 	avoid: UpstreamId[];
 };
 
+/** Next step after an attempt: another attempt, or the end of the generation. */
 type Step = {kind: 'again'; progress: Progress} | {kind: 'done'; result: GenerationResult};
 
 const ticketEndKinds = {
 	finished: 'finished', yielded: 'preempted', stopped: 'cancelled', lost: 'failed',
 } as const satisfies Record<GenerationAttemptEnd['result']['kind'], TicketEnd['kind']>;
 
-/** Gets the time left to start in. Once there is output, going on from it is always less work than the resend that would follow a cut answer. */
+/** Returns the time to the deadline for starting an attempt. It is unlimited once there is output, because resuming costs less than the request that the caller would send again after an incomplete answer. */
 const getSlack = ({request}: GenerationRun, progress: Progress, now: Milliseconds): Milliseconds =>
 	progress.tokens === 0 ? request.deadline - now : Number.POSITIVE_INFINITY;
 
@@ -76,7 +78,7 @@
 		slack: getSlack(run, progress, context.clock.now()),
 		expectedDuration: 0,
 		resumable: true,
-		// Going on from output is no extra load: it takes the place of a resend by the caller, which would start anew.
+		// Resuming isn't charged to the retry budget: it adds no load, because it replaces a request that the caller would send again from the start.
 		withinBudget: progress.tokens > 0 || failedAttempt.ran === 'not-run' || context.limits.acquireRetry(request),
 	}, context.random.next());
 	if (decision.kind === 'stop') {
@@ -146,7 +148,7 @@
 	return handleAttemptEnd(context, run, addAttempt(progress, grant.upstream, end, ran), end);
 };
 
-/** Runs a generation: asks for an engine, and after a loss or a preemption goes on at another where that is proven safe. */
+/** Runs a generation: acquires an engine, and after a failure or a preemption continues on another one if a retry is known to be safe. */
 export const runGeneration = async (context: HostContext, run: GenerationRun): Promise<GenerationResult> => {
 	let progress: Progress = {
 		attempts: 0, countedAttempts: 0, preemptions: 0, text: '', tokens: 0, ran: 'not-run', crashes: 0, avoid: [],
--- a/packages/router/src/host/account-reader.ts
+++ b/packages/router/src/host/account-reader.ts
@@ -5,7 +5,7 @@
 import {getRequestOrigin} from '../request-ids.js';
 import type {Fleet} from './fleet.js';
 
-/** What reading accounts takes. */
+/** Dependencies of an account reader. */
 export type AccountReaderOptions = {
 	self: HostId;
 	accounts: Accounts;
@@ -15,7 +15,7 @@
 	now: () => number;
 };
 
-/** Reads the account of a request from this host, the host that gave its id, or the claim of a booking. */
+/** Reads the account of a request from this host, from the host that issued its id, or from the claim of a non-idempotent request. */
 export type AccountReader = (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
 
 const createUnknownAccount = (id: RequestId, customer: CustomerId, at: number): Account => ({
@@ -27,7 +27,7 @@
 	attempts: [],
 });
 
-/** Creates the reader of accounts. For a plain question whose host is gone it says `unknown`, as nothing of it is kept elsewhere. */
+/** Creates an account reader. For an idempotent request whose host is gone it returns a run state of `unknown`, because its account is stored on that host only. */
 export const createAccountReader = ({
 	self, accounts, claims, peers, fleet, now,
 }: AccountReaderOptions): AccountReader => async (id, customer) => {
--- a/packages/router/src/host/demand-tracker.test.ts
+++ b/packages/router/src/host/demand-tracker.test.ts
@@ -23,7 +23,7 @@
 	fingerprint: '',
 });
 
-test('counts what waits and runs, and what was refused for a while', async () => {
+test('counts queued and running requests, and refused ones for 10 seconds', async () => {
 	const clock = createManualClock();
 	const tracker = createDemandTracker(createAccounts({clock, capacity: 10}), clock);
 	for (const id of ['waits', 'runs', 'refused', 'done']) {
--- a/packages/router/src/host/demand-tracker.ts
+++ b/packages/router/src/host/demand-tracker.ts
@@ -4,9 +4,9 @@
 	ClassifiedRequest, ClassName, Demand, Milliseconds, ModelName, RequestId,
 } from '@gentianlift/types';
 
-/** Demand of this host's own callers, by class and by model or adapter. */
+/** Tracks the demand of this host's callers, by class and by model or adapter. */
 export type DemandTracker = {
-	/** The accounts, which tell the record of every request on the way. */
+	/** Accounts whose events also update the tracked demand. */
 	accounts: Accounts;
 	getDemands: () => Demand[];
 };
@@ -17,15 +17,18 @@
 	rank: number;
 	target: Milliseconds;
 	startedAt: Milliseconds | undefined;
-	/** A refused request counts for a while, since its caller would have been served by more engines. */
+	/** Time until which a refused request counts as demand, because more engines would have served it. */
 	refusedUntil: Milliseconds | undefined;
 };
 
+/** Time for which a refused request counts as demand. */
 const refusedRetention: Milliseconds = 10_000;
+/** Latency target of a class that sets none. */
 const defaultTarget: Milliseconds = 60_000;
+/** Service time of a class before its first request has ended. */
 const defaultServiceTime: Milliseconds = 5000;
 const maxTrackedRequests = 20_000;
-/** Weight of a new service time in the average. */
+/** Weight of a new service time in the exponential moving average. */
 const serviceTimeSmoothing = 0.1;
 
 const createTrackedRequest = (request: ClassifiedRequest): TrackedRequest | undefined => {
@@ -37,7 +40,7 @@
 		: undefined;
 };
 
-/** Wraps accounts in a record of demand. */
+/** Wraps accounts so that their events also track the demand. */
 export const createDemandTracker = (accounts: Accounts, clock: Clock): DemandTracker => {
 	const trackedRequests = new Map<RequestId, TrackedRequest>();
 	const serviceTimes = new Map<ClassName, Milliseconds>();
--- a/packages/router/src/host/engine-polling.ts
+++ b/packages/router/src/host/engine-polling.ts
@@ -5,12 +5,12 @@
 import type {UpstreamClient} from '@gentianlift/upstream';
 import type {UpstreamEntry} from '../upstream-directory.js';
 
-/** What polling takes. */
+/** Options of the polling. */
 export type EnginePollingOptions = {
 	clock: Clock;
 	random: Random;
 	upstreams: Pick<UpstreamClient, 'readLoad' | 'readCacheEvents'>;
-	/** Engines whose work this host orders. */
+	/** Returns the engines that this host schedules. */
 	getScheduledEngines: () => UpstreamEntry[];
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
@@ -18,7 +18,7 @@
 
 const pollInterval: Milliseconds = 500;
 
-/** Polls load reports and cache events of the engines whose work this host orders, so that the number of polls doesn't grow with the fleet. */
+/** Starts to poll load reports and cache events of the engines that this host schedules. Other hosts don't poll them, so that the polls per engine don't grow with the fleet. */
 export const startEnginePolling = (options: EnginePollingOptions): Cancel => {
 	const {clock, random, upstreams, getScheduledEngines} = options;
 	const {every} = clock;
--- a/packages/router/src/host/fleet-facts.test.ts
+++ b/packages/router/src/host/fleet-facts.test.ts
@@ -36,7 +36,7 @@
 	};
 };
 
-test('the holder knows the demand of all hosts after asking them in turn', async () => {
+test('the lease holder knows the demand of all hosts after polling them in turn', async () => {
 	const {clock, polledHosts, facts} = startFacts(100, () => true);
 	await clock.advance(1000);
 	expect(polledHosts).toHaveLength(32);
@@ -45,7 +45,7 @@
 	expect(facts.getReports().size).toBe(100);
 });
 
-test('a host that no longer answers is forgotten', async () => {
+test('the facts of a host that no longer answers expire', async () => {
 	const {clock, unreachableHosts, facts} = startFacts(3, () => true);
 	await clock.advance(1000);
 	unreachableHosts.add('host-2');
@@ -53,7 +53,7 @@
 	expect([...facts.getReports().keys()]).toEqual(['engine-of-host-0', 'engine-of-host-1']);
 });
 
-test('a host that doesn\'t plan asks nobody', async () => {
+test('a host that doesn\'t hold the lease polls no other host', async () => {
 	const {clock, polledHosts, facts} = startFacts(3, () => false);
 	await clock.advance(5000);
 	expect(polledHosts).toEqual([]);
--- a/packages/router/src/host/fleet-facts.ts
+++ b/packages/router/src/host/fleet-facts.ts
@@ -4,14 +4,14 @@
 } from '@gentianlift/types';
 import type {Fleet} from './fleet.js';
 
-/** What all hosts know that decides which models engines should hold, as far as it has reached this host. */
+/** Demand and load reports of all hosts, on which the placement of models is based, as far as this host has received them. */
 export type FleetFacts = {
 	getDemands: () => Demand[];
 	getReports: () => ReadonlyMap<UpstreamId, LoadReport>;
 	stop: Cancel;
 };
 
-/** What gathering takes; `isHolder` says whether this host plans, as only the holder asks. */
+/** Options of the collection; `isHolder` returns whether this host holds the placement lease, because only the holder polls the others. */
 export type FleetFactsOptions = {
 	clock: Clock;
 	self: HostId;
@@ -24,12 +24,12 @@
 type PolledFacts = {facts: PlacementFacts; at: Milliseconds};
 
 const pollInterval: Milliseconds = 1000;
-/** Hosts asked in each interval, which bounds the holder's traffic at any size of the fleet. */
+/** Number of hosts polled in each interval, which bounds the holder's traffic at any fleet size. */
 const hostsPerInterval = 32;
-/** Answers older than this are left out, unless it takes longer to ask all hosts once. */
+/** Minimum age at which a host's facts expire; in a large fleet they expire after two polling rounds. */
 const minFactsLifetime: Milliseconds = 5000;
 
-/** Starts to gather facts from hosts in turn. */
+/** Starts to poll the hosts for their facts in round-robin order. */
 export const startFleetFacts = ({clock, self, fleet, peers, getOwnFacts, isHolder}: FleetFactsOptions): FleetFacts => {
 	const {every} = clock;
 	const polledFacts = new Map<HostId, PolledFacts>();
--- a/packages/router/src/host/fleet.ts
+++ b/packages/router/src/host/fleet.ts
@@ -6,20 +6,20 @@
 } from '@gentianlift/types';
 import type {Random} from '@gentianlift/clock';
 
-/** The hosts as the rest of the process asks for them. */
+/** View of the hosts of the fleet, derived from the membership. */
 export type Fleet = {
 	getMembers: () => readonly Member[];
-	/** Hosts that may own keys. */
+	/** Returns the hosts that may own keys. */
 	getHosts: () => ReadonlyArray<{host: HostId; zone: Zone}>;
 	getMember: (host: HostId) => Member | undefined;
 	getOwnerOf: (key: string) => HostId | undefined;
 	getOwners: (key: string, count: number) => readonly HostId[];
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
-	/** Whether a run of a host is known to have ended. */
+	/** Whether the given incarnation of a host is known to have ended. */
 	hasEnded: (host: HostId, incarnation: Incarnation) => boolean;
 };
 
-/** Creates the questions on top of a list of members. The owners are kept until the list changes. */
+/** Creates the view of a list of members. Owners of keys are cached until the eligible hosts change. */
 export const createFleet = (readMembers: () => Member[], timeToLive: Milliseconds, random: Random): Fleet => {
 	let members: Member[] | undefined;
 	let eligibleHosts: HostId[] = [];
--- a/packages/router/src/host/graceful-shutdown.ts
+++ b/packages/router/src/host/graceful-shutdown.ts
@@ -2,47 +2,47 @@
 import type {Logger} from '@gentianlift/logger';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Where a host is on its way out. */
+/** State of a host's shutdown. */
 export type ShutdownState
 	= | {kind: 'serving'}
-	/** Out of the addresses that callers are given, but still serving those that come. */
+	/** No longer among the addresses that callers are given, but still accepts requests. */
 		| {kind: 'draining'; since: Milliseconds}
-	/** No longer listening; finishes what it has. */
+	/** No longer listens; completes the requests in flight. */
 		| {kind: 'stopping'; since: Milliseconds};
 
-/** Steps of a graceful shutdown. */
+/** Operations that a graceful shutdown performs. */
 export type ShutdownSteps = {
 	setDraining: (isDraining: boolean) => void;
-	/** Stops to listen for callers. */
+	/** Closes the listener for callers. */
 	closeListener: () => void;
-	/** Requests that wait or run here. */
+	/** Returns the number of requests that are queued or running on this host. */
 	getInFlightCount: () => number;
-	/** Ends open requests with `forced-stop`. */
+	/** Aborts the requests in flight with the error `forced-stop`. */
 	abortRequests: () => void;
-	/** Hands over what the host owns, and ends; resolves when all is stored. */
+	/** Stores outstanding settlements of claims and stops all components. */
 	finish: () => Promise<void>;
 	exit: (status: number) => void;
 };
 
-/** Takes a host out of service without cutting a request short. */
+/** Takes a host out of service without aborting requests. */
 export type GracefulShutdown = {
-	/** Begins; without effect if it has begun. */
+	/** Begins the shutdown; has no effect if it has already begun. */
 	begin: (reason: string) => ShutdownState;
-	/** Takes it back; only while the host still listens. */
+	/** Cancels the shutdown, which is possible only while the host still listens. */
 	cancel: () => ShutdownState;
-	/** Cuts open requests and ends the process, on an operator's word. */
+	/** Aborts the requests in flight and ends the process, at an operator's request. */
 	force: () => ShutdownState;
 	getState: () => ShutdownState;
 };
 
-/** What the shutdown takes; `timeToLive` is how long callers may keep an address. */
+/** Options of a graceful shutdown; `timeToLive` is the time for which callers may cache an address. */
 export type GracefulShutdownOptions = {clock: Clock; logger: Logger; timeToLive: Milliseconds; steps: ShutdownSteps};
 
 const checkInterval: Milliseconds = 50;
-/** Time beyond the time to live for callers whose clocks or requests are late. */
+/** Margin beyond the time to live of addresses, for callers with late clocks or delayed requests. */
 const lateCallerMargin: Milliseconds = 500;
 
-/** Creates the shutdown of a host. */
+/** Creates the graceful shutdown of a host. */
 export const createGracefulShutdown = ({clock, logger, timeToLive, steps}: GracefulShutdownOptions): GracefulShutdown => {
 	let state: ShutdownState = {kind: 'serving'};
 	let shutdownRun = 0;
@@ -50,7 +50,7 @@
 
 	const waitForRequests = async (): Promise<void> => {
 		while (steps.getInFlightCount() > 0) {
-			// eslint-disable-next-line no-await-in-loop -- Waits until the last request has ended, however long it takes.
+			// eslint-disable-next-line no-await-in-loop -- Waits without a limit until the last request has ended.
 			await clock.sleep(checkInterval);
 		}
 	};
@@ -79,7 +79,7 @@
 				steps.setDraining(true);
 				void runShutdown(shutdownRun);
 			} else {
-				logger.warn('stop-refused', {reason, detail: 'the host is draining and cuts no request; an operator may force it'});
+				logger.warn('stop-refused', {reason, detail: 'the shutdown has already begun and aborts no request; an operator can force it'});
 			}
 
 			return state;
--- a/packages/router/src/host/infrastructure.ts
+++ b/packages/router/src/host/infrastructure.ts
@@ -6,7 +6,7 @@
 import {createUpstreamClient} from '@gentianlift/upstream';
 import {createInFlightRequests} from '../in-flight-requests.js';
 
-/** Creates what needs no other part: time, chance, records, and the clients of the platform and of upstreams. */
+/** Creates the components that depend on the settings only: clock, random source, metrics, logger, and the clients of the platform services and of upstreams. */
 export const createInfrastructure = (settings: Settings) => {
 	const clock = createSystemClock();
 	const incarnation = clock.now();
@@ -26,5 +26,5 @@
 	};
 };
 
-/** Parts that need no other part. */
+/** Components that depend on the settings only. */
 export type Infrastructure = ReturnType<typeof createInfrastructure>;
--- a/packages/router/src/host/model-placement.ts
+++ b/packages/router/src/host/model-placement.ts
@@ -7,20 +7,22 @@
 import type {Network} from './network.js';
 import {startFleetFacts} from './fleet-facts.js';
 
-/** This host's part in placing models on engines. */
+/** This host's part in the placement of models on engines. */
 export type ModelPlacement = {
 	placement: Placement;
-	/** Takes in a report of an engine whose work this host orders. */
+	/** Records the load report of an engine that this host schedules. */
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
-	/** Answers the host that holds the lease. */
+	/** Returns the demand and load reports of this host, for the host that holds the placement lease. */
 	getOwnFacts: () => PlacementFacts;
 	stop: () => Promise<void>;
 };
 
+/** Number of hosts that compete for the placement lease. */
 const candidateCount = 3;
+/** Age after which a load report is ignored. */
 const maxReportAge: Milliseconds = 3000;
 
-/** Starts this host's part; only a few hosts try to hold the lease. */
+/** Starts this host's part in placement. Only a few candidate hosts try to acquire the lease. */
 export const startModelPlacement = (infrastructure: Infrastructure, {fleet, peers, follower}: Network, demandTracker: DemandTracker): ModelPlacement => {
 	const {settings, incarnation, clock, upstreams} = infrastructure;
 	const ownReports = new Map<UpstreamId, {report: LoadReport; at: Milliseconds}>();
--- a/packages/router/src/host/network.ts
+++ b/packages/router/src/host/network.ts
@@ -5,7 +5,7 @@
 import type {Infrastructure} from './infrastructure.js';
 import {createFleet} from './fleet.js';
 
-/** Creates what a host shares with the others: membership, calls, and the configuration that they pass on. */
+/** Creates the components that communicate with other hosts: membership, peer calls and the distribution of the configuration. */
 export const createNetwork = (infrastructure: Infrastructure) => {
 	const {
 		settings, incarnation, clock, random, metrics, keyValue,
@@ -51,5 +51,5 @@
 	};
 };
 
-/** Parts that a host shares with the others. */
+/** Components that communicate with other hosts. */
 export type Network = ReturnType<typeof createNetwork>;
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -17,7 +17,7 @@
 import type {OverloadMonitor} from './overload-monitor.js';
 import type {UpstreamMonitor} from './upstream-monitor.js';
 
-/** What the operators' listener answers from. */
+/** Dependencies of the operators' listener. */
 export type OperatorActionsOptions = {
 	settings: Settings;
 	incarnation: Incarnation;
@@ -46,7 +46,7 @@
 	return parsed.data;
 };
 
-/** Gets whether a host takes requests. */
+/** Returns whether a host is ready for requests, and the reason if it isn't. */
 export const getReadiness = ({follower, shutdown}: Pick<OperatorActionsOptions, 'follower' | 'shutdown'>): Readiness => {
 	if (shutdown.getState().kind !== 'serving') {
 		return {ready: false, reason: shutdown.getState().kind};
@@ -139,7 +139,7 @@
 	},
 });
 
-/** Creates what the operators' listener answers with. */
+/** Creates the queries and commands of the operators' listener. */
 export const createOperatorActions = (options: OperatorActionsOptions): OperatorActions => ({
 	queries: createQueries(options),
 	commands: createCommands(options),
--- a/packages/router/src/host/overload-monitor.ts
+++ b/packages/router/src/host/overload-monitor.ts
@@ -3,17 +3,18 @@
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import {createEventLoopMonitor} from '../event-loop-monitor.js';
 
-/** Watches how busy the process itself is, so that it sheds by tier before it falls over. */
+/** Monitors the load of the process, so that it sheds requests by tier before it is overloaded. */
 export type OverloadMonitor = {
-	/** Lowest rank that is still taken; undefined for all. */
+	/** Returns the rank of the lowest tier that is still admitted; undefined if all are. */
 	getRankLimit: () => Rank | undefined;
+	/** Returns the smoothed event loop lag. */
 	getLag: () => Milliseconds;
-	/** How full the host is, from 0 to 1. */
+	/** Returns the load of the host, from 0 to 1. */
 	getLoad: () => number;
 	stop: Cancel;
 };
 
-/** What the watch takes; `getTiers` gives the number of tiers, `getConnections` the share of the callers' connections in use. */
+/** Options of the overload monitor; `getConnectionRatio` returns the fraction of the callers' connections in use. */
 export type OverloadMonitorOptions = {
 	clock: Clock;
 	metrics: Metrics;
@@ -23,20 +24,21 @@
 };
 
 const sampleInterval: Milliseconds = 250;
-/** Lag at which the lowest tier is refused; each multiple refuses one more. */
+/** Event loop lag at which the lowest tier is shed; each further multiple sheds one more tier. */
 const lagPerTier: Milliseconds = 100;
 const heapLimitBytes = 1024 * 1024 * 1024;
+/** Fraction of the heap limit above which one more tier is shed. */
 const maxHeapRatio = 0.9;
-/** Part of the last lag that stays in the average. */
+/** Weight of the previous lag in the exponential moving average. */
 const previousLagWeight = 0.5;
 
-/** Gets the lowest rank that is taken at a lag; the highest tier is taken always. */
+/** Returns the rank of the lowest tier that is admitted at a given lag and heap ratio; undefined if all are. The highest tier is always admitted. */
 export const getRankLimitAt = (lag: Milliseconds, heapRatio: number, tierCount: number): Rank | undefined => {
 	const shedTiers = Math.floor(lag / lagPerTier) + (heapRatio > maxHeapRatio ? 1 : 0);
 	return shedTiers === 0 ? undefined : Math.max(0, tierCount - 1 - shedTiers);
 };
 
-/** Starts the watch. */
+/** Starts to sample the event loop lag and the memory use. */
 export const startOverloadMonitor = ({clock, metrics, getTierCount, getConnectionRatio, getHeapBytes}: OverloadMonitorOptions): OverloadMonitor => {
 	const {every} = clock;
 	const eventLoopMonitor = createEventLoopMonitor();
--- a/packages/router/src/host/peer-handlers.ts
+++ b/packages/router/src/host/peer-handlers.ts
@@ -4,7 +4,7 @@
 import type {ModelPlacement} from './model-placement.js';
 import type {Scheduling} from './scheduling.js';
 
-/** What answers the calls of other hosts. */
+/** Dependencies of the handlers of peer calls. */
 export type PeerHandlersOptions = {
 	scheduling: Scheduling;
 	claimOwner: ClaimOwner;
@@ -13,7 +13,7 @@
 	modelPlacement: Pick<ModelPlacement, 'getOwnFacts'>;
 };
 
-/** Creates the functions that answer the calls of other hosts. */
+/** Creates the handlers of calls from other hosts. */
 export const createPeerHandlers = ({scheduling, claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
 	exchangeGrants: async (from, message) => scheduling.groupOwner.handle(from, message),
 	async pushGrants(_from, message) {
--- a/packages/router/src/host/request-handling.ts
+++ b/packages/router/src/host/request-handling.ts
@@ -28,7 +28,7 @@
 	return {owner, client, stopRemoval: removal.start()};
 };
 
-/** Creates what handles requests: order of work, claims, accounts, and the watch over upstreams. */
+/** Creates the components that handle requests: scheduling, claims, accounts, and the monitor of upstreams. */
 export const createRequestHandling = (infrastructure: Infrastructure, network: Network) => {
 	const {settings, clock, random, upstreams} = infrastructure;
 	const {fleet, follower, membership, peers} = network;
@@ -83,5 +83,5 @@
 	};
 };
 
-/** Parts that handle requests. */
+/** Components that handle requests. */
 export type RequestHandling = ReturnType<typeof createRequestHandling>;
--- a/packages/router/src/host/scheduling.ts
+++ b/packages/router/src/host/scheduling.ts
@@ -11,7 +11,7 @@
 import {createLimits, type Limits} from '../limits.js';
 import type {Fleet} from './fleet.js';
 
-/** The parts of a host that order work and share limits out. */
+/** Components of a host that schedule requests and enforce limits. */
 export type Scheduling = {
 	groupOwner: GroupOwner;
 	grants: GrantClient;
@@ -23,7 +23,7 @@
 	stop: () => void;
 };
 
-/** What the orderers take. */
+/** Dependencies of the scheduling components. */
 export type SchedulingOptions = {
 	settings: Settings;
 	incarnation: Incarnation;
@@ -44,11 +44,11 @@
 		}
 
 		metrics.count('grant_pushes_total');
-		// A push that is lost is healed by the heartbeat of the host that asked.
+		// A lost push needs no retry: the next heartbeat of the host that requested the grants recovers them.
 		void peers.pushGrants(host, answer);
 	};
 
-/** Creates the parts of a host that order work and share limits out. */
+/** Creates the components of a host that schedule requests and enforce limits. */
 export const createScheduling = ({settings, incarnation, clock, random, metrics, fleet, peers}: SchedulingOptions): Scheduling => {
 	const {host: self} = settings;
 	const without = getMechanisms(settings.without);
--- a/packages/router/src/host/start-host.ts
+++ b/packages/router/src/host/start-host.ts
@@ -15,21 +15,21 @@
 import {createPeerHandlers} from './peer-handlers.js';
 import {createRequestHandling, type RequestHandling} from './request-handling.js';
 
-/** A host that listens. */
+/** Running host. */
 export type RunningHost = {
 	/** Begins a graceful shutdown; a second call is refused and logged. */
 	stop: (reason: string) => void;
-	/** Logs and counts a fault that nothing handled; one failed task must not cut all other requests. */
+	/** Logs and counts an unhandled error. The process continues, because one failed task must not abort all other requests. */
 	reportFault: (fault: unknown) => void;
 };
 
 type Exit = (status: number) => void;
 
-/** What ends a host beside its parts. */
+/** Actions that end a host after its components have stopped. */
 type ShutdownActions = {
-	/** Stops to listen for callers. */
+	/** Closes the listener for callers. */
 	closeListener: () => Promise<void>;
-	/** Stops to listen for operators and other hosts. */
+	/** Closes the listeners for operators and other hosts. */
 	closeInternalListeners: () => Promise<void>;
 	exit: Exit;
 };
@@ -95,7 +95,7 @@
 	});
 };
 
-/** Starts a host by its settings; rejects if one of its addresses can't be used. `exit` ends the process after a shutdown. */
+/** Starts a host with the given settings; rejects if it can't listen on one of its addresses. `exit` ends the process after a shutdown. */
 export const startHost = async (settings: Settings, exit: Exit): Promise<RunningHost> => {
 	const infrastructure = createInfrastructure(settings);
 	const network = createNetwork(infrastructure);
--- a/packages/router/src/host/suspect-gossip.test.ts
+++ b/packages/router/src/host/suspect-gossip.test.ts
@@ -5,7 +5,7 @@
 import {expect, test} from 'vitest';
 import {startSuspectGossip} from './suspect-gossip.js';
 
-test('suspects reach another host once, and aren\'t told back', async () => {
+test('suspects reach another host once, and aren\'t published back', async () => {
 	const clock = createManualClock();
 	const listeners: Array<(note: Note) => void> = [];
 	const published: string[] = [];
--- a/packages/router/src/host/suspect-gossip.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -4,7 +4,7 @@
 import type {GroupOwner} from '@gentianlift/scheduler';
 import type {HostId, Milliseconds, Note} from '@gentianlift/types';
 
-/** What passing suspects on takes. */
+/** Dependencies of the exchange of suspects. */
 export type SuspectGossipOptions = {
 	clock: Clock;
 	self: HostId;
@@ -19,9 +19,9 @@
 	({fingerprint: key, crashes: value.split(crashSeparator), expiresAt: now + duration});
 
 /**
-Passes suspects of crashes on to all hosts, so that the next owner of a group knows them.
+Publishes requests that are suspected of crashing upstreams to all hosts, so that the next owner of a group knows them.
 
-A suspect that was cleared stays with the others as a suspect until it expires: there it runs alone among suspects once more, and is cleared again.
+A cleared suspect isn't withdrawn: on other hosts it stays a suspect until it expires. There it runs once more with no other suspect beside it, and is cleared again.
 */
 export const startSuspectGossip = ({clock, self, membership, groupOwner}: SuspectGossipOptions): Cancel => {
 	const {every} = clock;
--- a/packages/router/src/host/upstream-monitor.test.ts
+++ b/packages/router/src/host/upstream-monitor.test.ts
@@ -10,7 +10,7 @@
 	at: 0, running: 1, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: true,
 };
 
-test('an engine that goes on leaving stays out, and the note of it is renewed', async () => {
+test('an engine that is still leaving stays excluded, and its announcement is renewed before it expires', async () => {
 	const clock = createManualClock();
 	const published: Array<Pick<Note, 'key' | 'value'>> = [];
 	const options = {
--- a/packages/router/src/host/upstream-monitor.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -12,19 +12,19 @@
 } from '@gentianlift/types';
 import type {UpstreamDirectory} from '../upstream-directory.js';
 
-/** What this host makes of upstreams, from its own traffic, other hosts, load reports, the host list and operators. */
+/** Health of upstreams as seen by this host, from its own traffic, other hosts, load reports, the host list and operators. */
 export type UpstreamMonitor = {
-	/** Takes in what an attempt of this host has shown. */
+	/** Records what an attempt of this host has shown about an upstream. */
 	recordSighting: (sighting: UpstreamSighting) => void;
-	/** Takes in a load report; one that says the engine is leaving is told to all hosts. */
+	/** Records a load report; if the engine is leaving, announces this to all hosts. */
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
-	/** Tells all hosts that an operator wants an upstream to leave, or takes it back. */
+	/** Announces to all hosts that an operator drains an upstream, or has ended the drain. */
 	setOperatorDrain: (upstream: UpstreamId, isLeaving: boolean) => void;
 	getStanding: (upstream: UpstreamId) => Standing;
 	stop: Cancel;
 };
 
-/** What the watch takes. */
+/** Dependencies of the monitor. */
 export type UpstreamMonitorOptions = {
 	clock: Clock;
 	random: Random;
@@ -41,13 +41,14 @@
 
 const standingCheckInterval: Milliseconds = 200;
 const pollInterval: Milliseconds = 1000;
+/** Lifetimes of announcements to other hosts. */
 const failureLifetime: Milliseconds = 10_000;
 const leavingLifetime: Milliseconds = 30_000;
 const operatorDrainLifetime: Milliseconds = 24 * 60 * 60 * 1000;
 
 const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamSighting['kind']>;
 
-/** Applies the notes of other hosts to the health of upstreams. */
+/** Applies an announcement of another host to the health of upstreams. */
 const applyGossip = (health: UpstreamHealth, clock: Clock, note: Note): void => {
 	switch (note.topic) {
 		case 'upstream-failed': {
@@ -66,13 +67,13 @@
 		}
 
 		case 'suspect-request': {
-			// The suspects' own notes take these in.
+			// The exchange of suspects handles this topic.
 			break;
 		}
 	}
 };
 
-/** Passes changes of standing on to the owner of groups. */
+/** Creates a check that passes changes of an upstream's standing on to the owner of its group. */
 const createStandingCheck = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamMonitorOptions) => {
 	const reportedStandings = new Map<UpstreamId, Standing>();
 	return (): void => {
@@ -127,7 +128,7 @@
 	});
 };
 
-/** Starts to watch upstreams. */
+/** Starts to monitor upstreams. */
 export const startUpstreamMonitor = (options: UpstreamMonitorOptions): UpstreamMonitor => {
 	const {
 		clock, random, metrics, self, membership, groupOwner, getGroups,
@@ -148,7 +149,7 @@
 		checkStandings();
 	};
 
-	/** The note of an upstream that goes on leaving is renewed before it ends. */
+	/** Renews the announcement of an upstream that is still leaving before the previous one expires. */
 	const renewLeavingAnnouncement = (upstream: UpstreamId): void => {
 		const age = clock.monotonic() - (announcedAt.get(upstream) ?? Number.NEGATIVE_INFINITY);
 		if (age >= leavingLifetime / 2) {
