--- a/packages/router/src/callers/admission.ts
+++ b/packages/router/src/callers/admission.ts
@@ -11,10 +11,10 @@
 import type {Exchange} from './exchange.js';
 import {getApiKey, getDeclaredClass, getIdempotencyKey} from './read-headers.js';
 
-/** A caller whose key is known, and the configuration that its request is judged by. */
+/** Authenticated customer, and the configuration that applies to its request. */
 export type Caller = {customer: Customer; configuration: Configuration};
 
-/** Finds the caller's customer; throws `not-configured`, `missing-key` or `wrong-key`. */
+/** Returns the customer that the API key belongs to; throws `not-configured`, `missing-key` or `wrong-key`. */
 export const authenticate = (context: HostContext, request: IncomingMessage): Caller => {
 	const version = context.getConfiguration();
 	if (version === undefined) {
@@ -29,13 +29,13 @@
 	return {customer, configuration: version.configuration};
 };
 
-/** What a request brings to its classification. */
+/** Properties of a request that its classification is based on. */
 export type IncomingRequest = {
 	method: string;
-	/** Path that the rules match: of a call, the path at the service. */
+	/** Path that the rules are matched against; for a service call, the path at the service. */
 	path: string;
 	body: Uint8Array;
-	/** Text by which resends under other ids are recognised. */
+	/** Text from which the fingerprint is computed, which recognises repeated requests that have other ids. */
 	prompt: string;
 	work: Work;
 };
@@ -45,7 +45,7 @@
 const getDigest = ({method, path, body, work}: IncomingRequest): string =>
 	createHash('sha256').update(`${getTargetName(work)} ${method} ${path}\n`).update(body).digest('hex');
 
-/** Classifies a request, opens its account and notes both in the exchange; throws the refusal's error kind. */
+/** Classifies a request, opens its account and stores its id and classification in the exchange; throws the failure of a refused request. */
 export const admitRequest = (context: HostContext, {customer, configuration}: Caller, exchange: Exchange, incoming: IncomingRequest): ClassifiedRequest => {
 	const declaredClass = getDeclaredClass(exchange.request);
 	const idempotencyKey = getIdempotencyKey(exchange.request);
@@ -66,15 +66,15 @@
 	}
 
 	const {request} = classification;
-	const isBooking = !request.idempotent && request.idempotencyKey !== undefined;
-	const identified = isBooking ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
+	const needsClaim = !request.idempotent && request.idempotencyKey !== undefined;
+	const identified = needsClaim ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
 	exchange.id = identified.id;
 	exchange.classified = identified;
 	context.accounts.open(identified);
 	return identified;
 };
 
-/** Takes the customer's limits and the host's own into account; throws the refusal's error kind. */
+/** Checks the host's overload limit and acquires the customer's limits; throws the failure of a refused request. Call the returned function with the tokens used when the request ends. */
 export const acquireLimits = async (context: HostContext, customer: Customer, request: ClassifiedRequest): Promise<(tokens: number) => void> => {
 	const rankLimit = context.getRankLimit();
 	if (rankLimit !== undefined && request.rank > rankLimit) {
--- a/packages/router/src/callers/caller-server.ts
+++ b/packages/router/src/callers/caller-server.ts
@@ -8,9 +8,10 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {Settings} from '@gentianlift/types';
 
-/** Answers one request of a caller. */
+/** Handles one request of a caller. */
 export type CallerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
+/** Interval at which the server checks connections for its timeouts. */
 const timeoutCheckMilliseconds = 1000;
 
 const errorKindsByCode: Record<string, ErrorKind> = {
@@ -18,7 +19,7 @@
 	ERR_HTTP_REQUEST_TIMEOUT: 'body-timeout',
 };
 
-/** Answers on the bare connection, since a request that can't be parsed has no response object. */
+/** Writes the error response to the socket, because a request that can't be parsed has no response object. */
 const answerParserError = (error: NodeJS.ErrnoException, socket: Duplex, metrics: Metrics): void => {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
@@ -40,7 +41,7 @@
 	].join('\r\n'));
 };
 
-/** Creates the HTTP server for callers, with the limits of the settings; it isn't listening yet. */
+/** Creates the HTTP server for callers with the limits of the settings. It isn't listening yet. */
 export const createCallerServer = (settings: Settings, metrics: Metrics, handle: CallerHandler): Server => {
 	const {callerLimits} = settings;
 	const server = createServer({
--- a/packages/router/src/callers/caller-stream.ts
+++ b/packages/router/src/callers/caller-stream.ts
@@ -2,77 +2,77 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Where the bytes of an answer go. */
+/** Destination of the body of a response. */
 export type ResponseWriter = {
-	/** Takes bytes; false if no more may follow before `drained`. */
+	/** Writes bytes; returns false if no more may be written before `waitUntilWritable` resolves. */
 	write: (bytes: Uint8Array) => boolean;
-	/** Waits until more may follow; false if the reader has gone. */
+	/** Waits until more may be written; resolves to false if the recipient has disconnected. */
 	waitUntilWritable: () => Promise<boolean>;
 };
 
-/** The caller's side of an answer under way. */
+/** Response stream to a caller. */
 export type CallerStream = ResponseWriter & {
-	/** Sends the head of the answer, once. */
+	/** Sends the status and headers; has no effect after the first time. */
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 	end: () => void;
 	hasBegun: () => boolean;
-	/** Aborted when the caller has gone, or has read nothing for too long. */
-	callerGone: AbortSignal;
+	/** Aborted when the caller has disconnected, or has read nothing for the idle timeout. */
+	callerDisconnected: AbortSignal;
 };
 
-/** What the caller's side takes. */
+/** Options of a response stream. */
 export type CallerStreamOptions = {
 	clock: Clock;
-	/** Time after which a caller that reads nothing is taken as gone. */
+	/** Time after which a caller that reads nothing is disconnected. */
 	idleTimeout: Milliseconds;
-	/** Aborted when an operator cuts all open requests; the stream counts as gone then. */
+	/** Aborted when an operator aborts all requests in flight; the caller then counts as disconnected. */
 	abortSignal: AbortSignal;
 };
 
-/** Creates the caller's side of an answer. */
+/** Creates the response stream to a caller. */
 export const createCallerStream = (response: ServerResponse, {clock, idleTimeout, abortSignal}: CallerStreamOptions): CallerStream => {
-	const callerGone = new AbortController();
+	const disconnection = new AbortController();
 	const onAbort = (): void => {
-		callerGone.abort();
+		disconnection.abort();
 	};
 
 	abortSignal.addEventListener('abort', onAbort, {once: true});
 	response.once('close', () => {
 		abortSignal.removeEventListener('abort', onAbort);
 		if (!response.writableFinished) {
-			callerGone.abort();
+			disconnection.abort();
 		}
 	});
 
 	const waitForDrainEvent = async (): Promise<boolean> => new Promise(resolve => {
-		const finish = (isReading: boolean): void => {
+		const finish = (isWritable: boolean): void => {
 			cancel();
 			response.off('drain', onDrain);
-			callerGone.signal.removeEventListener('abort', onGone);
-			resolve(isReading);
+			disconnection.signal.removeEventListener('abort', onDisconnect);
+			resolve(isWritable);
 		};
 
 		const onDrain = (): void => {
 			finish(true);
 		};
 
-		const onGone = (): void => {
+		const onDisconnect = (): void => {
 			finish(false);
 		};
 
 		const cancel = clock.after(idleTimeout, () => {
 			response.destroy();
-			callerGone.abort();
+			disconnection.abort();
 		});
 		response.once('drain', onDrain);
-		callerGone.signal.addEventListener('abort', onGone);
+		disconnection.signal.addEventListener('abort', onDisconnect);
 	});
 
 	return {
-		callerGone: callerGone.signal,
+		callerDisconnected: disconnection.signal,
 		hasBegun: () => response.headersSent,
 		begin(status, headers) {
-			if (!response.headersSent && !callerGone.signal.aborted) {
+			if (!response.headersSent && !disconnection.signal.aborted) {
 				response.statusCode = status;
 				for (const [name, value] of Object.entries(headers)) {
 					if (value !== undefined) {
@@ -83,8 +83,8 @@
 				response.flushHeaders();
 			}
 		},
-		write: bytes => !callerGone.signal.aborted && response.write(bytes),
-		waitUntilWritable: async () => callerGone.signal.aborted ? false : waitForDrainEvent(),
+		write: bytes => !disconnection.signal.aborted && response.write(bytes),
+		waitUntilWritable: async () => disconnection.signal.aborted ? false : waitForDrainEvent(),
 		end() {
 			response.end();
 		},
--- a/packages/router/src/callers/chat-body.ts
+++ b/packages/router/src/callers/chat-body.ts
@@ -15,7 +15,7 @@
 	n: z.literal(1).nullish(),
 });
 
-/** Body of a chat completion; fields that the router doesn't read are kept for the engine. */
+/** Body of a chat completion request; fields that the router doesn't use are passed on to the engine. */
 export type ChatBody = z.infer<typeof chatBody>;
 
 const decoder = new TextDecoder('utf-8', {fatal: true});
@@ -29,7 +29,7 @@
 	}
 };
 
-/** Parses the body of a chat completion; throws `bad-json` or `bad-request`, which names each fault. */
+/** Parses the body of a chat completion request; throws `bad-json`, or `bad-request` with each invalid field. */
 export const parseChatBody = (body: Uint8Array): ChatBody => {
 	const parsed = chatBody.safeParse(parseJson(body));
 	if (parsed.success) {
--- a/packages/router/src/callers/claimed-response.ts
+++ b/packages/router/src/callers/claimed-response.ts
@@ -5,9 +5,9 @@
 import type {Exchange} from './exchange.js';
 
 /*
-Answers a resend with the stored outcome of the booking.
+Responds to a repeated non-idempotent request with the stored outcome of the first one.
 
-Where the body was too large to keep, or has been dropped with age, the caller gets the status of the booking in an account instead.
+If the body was too large to store, or was removed because of its age, the response body holds the status and id of the first request instead.
 */
 const sendStoredResponse = ({response, id}: Exchange, claim: Claim, outcome: Extract<ClaimOutcome, {kind: 'finished'}>): void => {
 	const headers = {...getAccountHeaders(id, 'ran'), 'x-original-request-id': claim.request, 'x-replayed': 'true'};
@@ -24,7 +24,7 @@
 	response.end(outcome.body);
 };
 
-/** Ends the answer of a non-idempotent request: one that ran now has been relayed already. Throws the failure to report. */
+/** Sends the result of a non-idempotent request, unless it ran now and its response has already been sent. Throws the failure to report. */
 export const sendClaimedResult = (exchange: Exchange, result: ClaimedRequestResult): void => {
 	switch (result.kind) {
 		case 'relayed': {
--- a/packages/router/src/callers/commands/chat.ts
+++ b/packages/router/src/callers/commands/chat.ts
@@ -18,7 +18,7 @@
 import {readBody} from '../read-body.js';
 import {createLatencyRecorder} from '../latency-recorder.js';
 
-/** A chat completion that has been classified. */
+/** Classified chat completion request. */
 type Chat = {
 	caller: Caller;
 	request: ClassifiedRequest;
@@ -28,6 +28,7 @@
 	stream: CallerStream;
 };
 
+/** Estimate from which the number of prompt tokens is computed. */
 const charactersPerToken = 4;
 const defaultMaxTokens = 4096;
 
@@ -61,7 +62,7 @@
 		request,
 		body,
 		bytes,
-		stopSignal: request.idempotent ? stream.callerGone : new AbortController().signal,
+		stopSignal: request.idempotent ? stream.callerDisconnected : new AbortController().signal,
 		writer: body.stream === true ? createStreamWriter(request, stream, latencyRecorder.recordOutput) : createBufferedWriter(latencyRecorder.recordOutput),
 	});
 	latencyRecorder.recordEnd(result.kind === 'finished');
@@ -82,7 +83,7 @@
 	}
 };
 
-/** Runs a chat within its customer's limits and answers. */
+/** Runs a chat completion within the customer's limits and responds. */
 const serveChat = async (context: HostContext, chat: Chat): Promise<GenerationResult> => {
 	const release = await acquireLimits(context, chat.caller.customer, chat.request);
 	let tokens = 0;
@@ -101,7 +102,7 @@
 	return result.kind === 'finished' ? {kind: 'finished', status: 200} : getUnfinishedClaimEnd(result);
 });
 
-/** Answers `POST /v1/chat/completions`, as a stream or whole; throws the failure to report. */
+/** Handles `POST /v1/chat/completions`, streamed or not; throws the failure to report. */
 export const handleChat = async (context: HostContext, exchange: Exchange): Promise<void> => {
 	const caller = authenticate(context, exchange.request);
 	const bytes = await readBody(exchange.request, context.settings.callerLimits, context.clock);
--- a/packages/router/src/callers/commands/service.ts
+++ b/packages/router/src/callers/commands/service.ts
@@ -16,6 +16,7 @@
 import {createLatencyRecorder} from '../latency-recorder.js';
 import {readBody} from '../read-body.js';
 
+/** Classified call to a service. */
 type Call = {
 	caller: Caller;
 	request: ClassifiedRequest;
@@ -25,7 +26,7 @@
 	body: Uint8Array;
 };
 
-/** Headers of callers that are for the router alone. */
+/** Request headers that are meant for the router and aren't forwarded. */
 const routerHeaders = ['authorization', 'x-class', 'x-request-id', 'host', 'content-length', 'expect'];
 
 const getServiceHeaders = (request: IncomingMessage, id: string, length: number): OutgoingHttpHeaders => {
@@ -47,7 +48,7 @@
 		path,
 		headers: getServiceHeaders(exchange.request, request.id, body.length),
 		body,
-		callerGone: stream.callerGone,
+		callerDisconnected: stream.callerDisconnected,
 		receiver: {
 			begin(status, headers) {
 				latencyRecorder.recordOutput();
@@ -82,7 +83,7 @@
 	};
 };
 
-/** Makes a call within its customer's limits and answers. */
+/** Runs a call within the customer's limits and responds. */
 const serveCall = async (context: HostContext, call: Call): Promise<CallResult> => {
 	const release = await acquireLimits(context, call.caller.customer, call.request);
 	try {
@@ -100,7 +101,7 @@
 const dotSegment = /(?:^|[\/\\])(?:\.|%2e){1,2}(?:$|[\/\\])/iv;
 const encodedSlash = /%2f|%5c/iv;
 
-/** Throws `bad-request` for a path that the service may read as another one than the rules match. */
+/** Throws `bad-request` for a path that the service could normalise to another path than the one that the rules were matched against. */
 const checkPath = (path: string): void => {
 	const [pathname = ''] = path.split('?');
 	if (dotSegment.test(pathname) || encodedSlash.test(pathname)) {
@@ -110,7 +111,7 @@
 
 const servicePath = /^\/v1\/services\/(?<service>[^\/?]+)(?<path>.*)$/v;
 
-/** Passes a call under `/v1/services/<name>/` on to the service; throws the failure to report. */
+/** Forwards a call under `/v1/services/<name>/` to the service; throws the failure to report. */
 export const handleService = async (context: HostContext, exchange: Exchange): Promise<void> => {
 	const caller = authenticate(context, exchange.request);
 	const {service = '', path: remainder = ''} = servicePath.exec(exchange.request.url ?? '')?.groups ?? {};
--- a/packages/router/src/callers/completion-body.ts
+++ b/packages/router/src/callers/completion-body.ts
@@ -1,6 +1,6 @@
 import type {ClassifiedRequest, Milliseconds} from '@gentianlift/types';
 
-/** A finished generation, as the whole answer gives it. */
+/** Finished generation, for a response that isn't streamed. */
 export type FinishedGeneration = {
 	text: string;
 	tokens: number;
@@ -10,7 +10,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Gets the OpenAI-style body of a whole answer. */
+/** Creates the OpenAI-compatible body of a response that isn't streamed. */
 export const createCompletionBody = (request: ClassifiedRequest, model: string, generation: FinishedGeneration, now: Milliseconds) => {
 	const {text, tokens, finishReason} = generation;
 	const estimate = request.work.kind === 'generation' ? request.work.promptTokens : 0;
--- a/packages/router/src/callers/exchange.ts
+++ b/packages/router/src/callers/exchange.ts
@@ -1,11 +1,11 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {ClassifiedRequest, RequestId} from '@gentianlift/types';
 
-/** One request of a caller and its answer. */
+/** HTTP request of a caller and its response. */
 export type Exchange = {
 	request: IncomingMessage;
 	response: ServerResponse;
-	/** Changes once, when a booking's id is extended by the place of its claim. */
+	/** Changes once, when the id of a non-idempotent request is extended by the location of its claim. */
 	id: RequestId;
 	/** Set once the request is classified. */
 	classified: ClassifiedRequest | undefined;
--- a/packages/router/src/callers/handle-request.ts
+++ b/packages/router/src/callers/handle-request.ts
@@ -53,12 +53,12 @@
 	});
 };
 
-/** Answers one request of a caller. Never throws. */
+/** Handles one request of a caller. Never throws. */
 export const handleRequest = async (context: HostContext, request: IncomingMessage, response: ServerResponse): Promise<void> => {
 	const exchange: Exchange = {
 		request, response, id: context.createRequestId(), classified: undefined,
 	};
-	// A connection that fails is seen where the answer is written.
+	// Connection errors are handled where the response is written.
 	response.on('error', () => undefined);
 	if (context.isDraining()) {
 		response.setHeader('connection', 'close');
--- a/packages/router/src/callers/latency-recorder.ts
+++ b/packages/router/src/callers/latency-recorder.ts
@@ -1,29 +1,29 @@
 import type {ClassifiedRequest, Milliseconds} from '@gentianlift/types';
 import type {HostContext} from '../host-context.js';
 
-/** Measures one answer against the targets of its class. */
+/** Measures one response against the latency targets of its class. */
 export type LatencyRecorder = {
-	/** Tells that output has come. */
+	/** Records that output has arrived. */
 	recordOutput: () => void;
-	/** Tells that the answer has ended. */
-	recordEnd: (isWhole: boolean) => void;
+	/** Records that the response has ended, completely or not. */
+	recordEnd: (isComplete: boolean) => void;
 };
 
-/** Starts to measure an answer; it records histograms in milliseconds and whether the targets were met, by class. */
+/** Starts to measure a response. Records latency histograms in milliseconds, and whether the targets were met, by class. */
 export const createLatencyRecorder = ({clock, metrics}: HostContext, request: ClassifiedRequest): LatencyRecorder => {
 	const {className, targets, arrivedAt} = request;
 	const labels = {class: className};
-	let firstAt: Milliseconds | undefined;
-	let lastAt: Milliseconds = 0;
+	let firstOutputAt: Milliseconds | undefined;
+	let lastOutputAt: Milliseconds = 0;
 	let outputCount = 0;
 
 	const getMissedTarget = (totalDuration: Milliseconds): string | undefined => {
-		const timeToFirstToken = (firstAt ?? lastAt) - arrivedAt;
+		const timeToFirstToken = (firstOutputAt ?? lastOutputAt) - arrivedAt;
 		if (targets.firstToken !== undefined && timeToFirstToken > targets.firstToken) {
 			return 'first-token';
 		}
 
-		const meanInterTokenLatency = outputCount > 1 && firstAt !== undefined ? (lastAt - firstAt) / (outputCount - 1) : 0;
+		const meanInterTokenLatency = outputCount > 1 && firstOutputAt !== undefined ? (lastOutputAt - firstOutputAt) / (outputCount - 1) : 0;
 		if (targets.betweenTokens !== undefined && meanInterTokenLatency > targets.betweenTokens) {
 			return 'between-tokens';
 		}
@@ -33,16 +33,16 @@
 
 	return {
 		recordOutput() {
-			lastAt = clock.now();
+			lastOutputAt = clock.now();
 			outputCount++;
-			if (firstAt === undefined) {
-				firstAt = lastAt;
-				metrics.record('first_token_milliseconds', lastAt - arrivedAt, labels);
+			if (firstOutputAt === undefined) {
+				firstOutputAt = lastOutputAt;
+				metrics.record('first_token_milliseconds', lastOutputAt - arrivedAt, labels);
 			}
 		},
-		recordEnd(isWhole) {
+		recordEnd(isComplete) {
 			const totalDuration = clock.now() - arrivedAt;
-			if (!isWhole) {
+			if (!isComplete) {
 				metrics.count('answers_total', {...labels, result: 'not-whole'});
 				return;
 			}
--- a/packages/router/src/callers/queries/index.ts
+++ b/packages/router/src/callers/queries/index.ts
@@ -4,7 +4,7 @@
 import {sendJson} from '../send-response.js';
 import type {Exchange} from '../exchange.js';
 
-/** Answers `GET /v1/hosts`, with `?zone=` or `x-zone` for the caller's availability zone. */
+/** Handles `GET /v1/hosts`; the caller's availability zone is given as `?zone=` or in the header `x-zone`. */
 export const handleHosts = (context: HostContext, {request, response}: Exchange): void => {
 	const queryZone = new URL(request.url ?? '/', 'http://callers').searchParams.get('zone');
 	const headerZone = request.headers['x-zone'];
@@ -12,7 +12,7 @@
 	sendJson(response, 200, context.getHostAnswer(zone));
 };
 
-/** Answers `GET /v1/models` with the models and adapters of the inventory; throws the failure to report. */
+/** Handles `GET /v1/models` with the models and adapters of the inventory; throws the failure to report. */
 export const handleModels = (context: HostContext, {request, response}: Exchange): void => {
 	const {configuration: {inventory}} = authenticate(context, request);
 	const modelNames = [...inventory.models, ...inventory.adapters].map(({name}) => name);
@@ -25,7 +25,7 @@
 
 const requestPath = /^\/v1\/requests\/(?<id>[^\/?]+)/v;
 
-/** Answers `GET /v1/requests/<id>` with the account of the caller's own request; throws the failure to report. */
+/** Handles `GET /v1/requests/<id>` with the account of a request of the same customer; throws the failure to report. */
 export const handleRequestQuery = async (context: HostContext, {request, response}: Exchange): Promise<void> => {
 	const {customer} = authenticate(context, request);
 	const id = decodeURIComponent(requestPath.exec(request.url ?? '')?.groups?.id ?? '');
--- a/packages/router/src/callers/read-body.ts
+++ b/packages/router/src/callers/read-body.ts
@@ -5,9 +5,9 @@
 import type {CallerLimits} from '@gentianlift/types';
 
 /**
-Reads the whole body of a request.
+Reads the complete body of a request.
 
-Throws `body-too-large` or `body-timeout`; nothing more is read then.
+Throws `body-too-large`, `body-timeout` or `bad-request` for a connection that closes early. After a timeout or an excess of the limit it reads nothing more.
 */
 export const readBody = async (request: IncomingMessage, limits: CallerLimits, clock: Clock): Promise<Uint8Array> => {
 	if (Number(request.headers['content-length'] ?? 0) > limits.bodyBytes) {
--- a/packages/router/src/callers/read-headers.ts
+++ b/packages/router/src/callers/read-headers.ts
@@ -3,7 +3,7 @@
 
 const nonRepeatableHeaders = new Set(['authorization', 'content-type', 'content-length', 'idempotency-key', 'x-class', 'host']);
 
-/** Throws `repeated-header` if a header that may be given once was repeated. */
+/** Throws `repeated-header` if a header that may occur only once is repeated. */
 export const checkHeaders = (request: IncomingMessage): void => {
 	const seen = new Set<string>();
 	for (const [index, text] of request.rawHeaders.entries()) {
@@ -22,7 +22,7 @@
 
 const bearer = /^Bearer +(?<key>\S+) *$/iv;
 
-/** Gets the caller's API key; throws `missing-key`. */
+/** Returns the caller's API key; throws `missing-key` if there is none. */
 export const getApiKey = (request: IncomingMessage): string => {
 	const key = bearer.exec(request.headers.authorization ?? '')?.groups?.key;
 	if (key === undefined) {
@@ -35,7 +35,7 @@
 const maxIdempotencyKeyLength = 200;
 const printable = /^[!-~]+$/v;
 
-/** Gets the idempotency key, if one was given; throws `key-invalid`. */
+/** Returns the idempotency key, if there is one; throws `key-invalid` if it is malformed. */
 export const getIdempotencyKey = (request: IncomingMessage): string | undefined => {
 	const key = request.headers['idempotency-key'];
 	if (key === undefined) {
@@ -49,7 +49,7 @@
 	return key;
 };
 
-/** Gets the class that the caller declares, if any. */
+/** Returns the class that the caller declares, if any. */
 export const getDeclaredClass = (request: IncomingMessage): string | undefined => {
 	const name = request.headers['x-class'];
 	return typeof name === 'string' && name !== '' ? name : undefined;
--- a/packages/router/src/callers/response-writers.test.ts
+++ b/packages/router/src/callers/response-writers.test.ts
@@ -8,10 +8,10 @@
 	waitUntilWritable: async () => false,
 	end: () => undefined,
 	hasBegun: () => true,
-	callerGone: AbortSignal.abort(),
+	callerDisconnected: AbortSignal.abort(),
 };
 
-test('only an idempotent answer ends when its caller has gone', async () => {
+test('only the response to an idempotent request ends when its caller has disconnected', async () => {
 	const write = (idempotent: boolean) => createStreamWriter({id: 'a.1.1', idempotent}, disconnectedStream, () => undefined);
 	expect(await write(true).waitUntilWritable()).toBe(false);
 	expect(await write(false).waitUntilWritable()).toBe(true);
--- a/packages/router/src/callers/response-writers.ts
+++ b/packages/router/src/callers/response-writers.ts
@@ -2,7 +2,7 @@
 import {getAccountHeaders} from './send-response.js';
 import type {ResponseWriter, CallerStream} from './caller-stream.js';
 
-/** Creates the writer of a whole answer, which is assembled at the end. */
+/** Creates the writer of a response that isn't streamed. It only records the output: the body is assembled at the end. */
 export const createBufferedWriter = (recordOutput: () => void): ResponseWriter => ({
 	write() {
 		recordOutput();
@@ -11,7 +11,7 @@
 	waitUntilWritable: async () => true,
 });
 
-/** Creates the writer of a streamed answer. A non-idempotent request runs on to its end when its caller has gone. */
+/** Creates the writer of a streamed response. A non-idempotent request continues to its end even if the caller has disconnected. */
 export const createStreamWriter = ({id, idempotent}: Pick<ClassifiedRequest, 'id' | 'idempotent'>, stream: CallerStream, recordOutput: () => void): ResponseWriter => ({
 	write(bytes) {
 		if (!stream.hasBegun()) {
@@ -22,7 +22,7 @@
 		return stream.write(bytes);
 	},
 	async waitUntilWritable() {
-		const isReading = await stream.waitUntilWritable();
-		return isReading || !idempotent;
+		const isWritable = await stream.waitUntilWritable();
+		return isWritable || !idempotent;
 	},
 });
--- a/packages/router/src/callers/send-response.ts
+++ b/packages/router/src/callers/send-response.ts
@@ -3,13 +3,13 @@
 import {errorTable, getErrorBody, type RequestFailure} from '@gentianlift/errors';
 import type {RequestId, RunState} from '@gentianlift/types';
 
-/** Header fields that every answer carries. */
+/** Returns the headers that every response to a request carries. */
 export const getAccountHeaders = (request: RequestId, ran: RunState): Record<string, string> => ({
 	'x-request-id': request,
 	'x-ran': ran,
 });
 
-/** Answers with a JSON body. */
+/** Sends a response with a JSON body. */
 export const sendJson = (response: ServerResponse, status: number, body: unknown, headers: Record<string, string> = {}): void => {
 	const text = JSON.stringify(body);
 	response.writeHead(status, {'content-type': 'application/json', 'content-length': String(Buffer.byteLength(text)), ...headers});
@@ -29,9 +29,9 @@
 };
 
 /**
-Tells the caller of a failure.
+Reports a failure to the caller.
 
-Before the answer began this is a whole error answer; after that a last `error` event without the terminal event, or an abrupt end where the body isn't an event stream.
+Before the response has begun, this is a complete error response. After that, it is a last event with the error and without the terminal event or, if the body isn't an event stream, a closed connection.
 */
 export const sendFailure = (response: ServerResponse, failure: RequestFailure, request: RequestId): void => {
 	const body = getErrorBody(failure, request);
--- a/packages/router/src/callers/unfinished-request.ts
+++ b/packages/router/src/callers/unfinished-request.ts
@@ -5,12 +5,12 @@
 import type {Exchange} from './exchange.js';
 import {sendClaimedResult} from './claimed-response.js';
 
-/** How a request ended that has no whole answer. */
+/** End of a request without a complete response. */
 export type UnfinishedResult
 	= | {kind: 'stopped'; ran: RunState}
 		| {kind: 'failed'; failure: RequestFailure};
 
-/** Ends an exchange that has no whole answer: its caller has gone, or it throws the failure to report. */
+/** Handles the end of a request without a complete response: records the cancellation if the caller has disconnected, else throws the failure to report. */
 export const handleUnfinished = (context: HostContext, {response}: Exchange, request: ClassifiedRequest, end: UnfinishedResult): void => {
 	if (end.kind === 'failed') {
 		throw end.failure;
@@ -25,7 +25,7 @@
 	response.destroy();
 };
 
-/** Gets what the claim of a request without a whole answer is settled with. */
+/** Returns the end with which the claim of a request without a complete response is settled. */
 export const getUnfinishedClaimEnd = (end: UnfinishedResult): ClaimedRequestEnd => {
 	switch (end.kind) {
 		case 'stopped': {
@@ -38,11 +38,11 @@
 	}
 };
 
-/** Runs a non-idempotent request under its claim and answers; a failure becomes the claim's outcome before the caller is told. */
-export const serveClaimedRequest = async (context: HostContext, exchange: Exchange, request: ClassifiedRequest, run: () => Promise<ClaimedRequestEnd>): Promise<void> => {
+/** Runs a non-idempotent request under its claim and responds. A failure is recorded as the claim's outcome before it is reported to the caller. */
+export const serveClaimedRequest = async (context: HostContext, exchange: Exchange, request: ClassifiedRequest, runRequest: () => Promise<ClaimedRequestEnd>): Promise<void> => {
 	const result = await runClaimedRequest(context, request, async () => {
 		try {
-			return await run();
+			return await runRequest();
 		} catch (error) {
 			return {kind: 'failed', failure: getFailure(error)};
 		}
--- a/packages/router/src/dispatch/call-attempt.ts
+++ b/packages/router/src/dispatch/call-attempt.ts
@@ -13,7 +13,7 @@
 /** Outcome of one attempt of a call. */
 export type CallAttemptEnd
 	= | {kind: 'finished'; status: number; contentType: string | undefined; body: string | undefined}
-	/** The connection failed after the response had begun. The attempt isn't retried, because the caller has received a part of it. */
+	/** The attempt failed after the response had begun. It isn't retried, because the caller has already received a part of the response. */
 		| {kind: 'cut'; failure: FailedAttempt}
 		| FailedAttempt;
 
--- a/packages/router/src/dispatch/generation-attempt.ts
+++ b/packages/router/src/dispatch/generation-attempt.ts
@@ -66,7 +66,7 @@
 };
 
 /** Combines signals that outlive an attempt. Unlike `AbortSignal.any`, whose listeners stay until garbage collection, `release` removes them at once. */
-const joinSignals = (signals: readonly AbortSignal[]) => {
+const combineSignals = (signals: readonly AbortSignal[]) => {
 	const controller = new AbortController();
 	const abort = (): void => {
 		controller.abort();
@@ -94,7 +94,7 @@
 export const runGenerationAttempt = async (context: HostContext, attempt: GenerationAttempt): Promise<GenerationAttemptEnd> => {
 	const {request, address, priority, body, resume, stopSignal, preemptionSignal, writer} = attempt;
 	const startedAt = context.clock.monotonic();
-	const joinedSignal = joinSignals([stopSignal, preemptionSignal]);
+	const combined = combineSignals([stopSignal, preemptionSignal]);
 	const prefix = request.work.kind === 'generation' ? request.work.prefix : [];
 	const generation = await context.upstreams.generate({
 		address,
@@ -102,10 +102,10 @@
 		headers: {
 			'x-request-id': request.id, 'x-priority': String(priority), ...(prefix.length > 0 && {'x-prefix': prefix.join(',')}),
 		},
-		signal: joinedSignal.signal,
+		signal: combined.signal,
 	});
 	if (generation.kind !== 'started') {
-		joinedSignal.release();
+		combined.release();
 		const result = generation.kind === 'cancelled' ? getResult(generation, attempt) : getFailedAttempt(generation);
 		return {
 			text: '', tokens: 0, firstTokenAfter: undefined, result,
@@ -124,7 +124,7 @@
 	}
 
 	const outcome = await generation.outcome;
-	joinedSignal.release();
+	combined.release();
 	return {
 		text: generation.getText(), tokens: generation.getTokens(), firstTokenAfter, result: getResult(outcome, attempt),
 	};
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -6,7 +6,7 @@
 import type {FailedAttempt} from './failed-attempt.js';
 
 /** Combines the run states of two attempts: the request ran if either did, and its state is unknown if either is unknown and neither ran. */
-export const joinRunStates = (one: RunState, other: RunState): RunState => {
+export const combineRunStates = (one: RunState, other: RunState): RunState => {
 	if (one === 'ran' || other === 'ran') {
 		return 'ran';
 	}
--- a/packages/router/src/dispatch/run-call.ts
+++ b/packages/router/src/dispatch/run-call.ts
@@ -9,7 +9,7 @@
 import {
 	runCallAttempt, type ResponseReceiver, type CallAttemptEnd,
 } from './call-attempt.js';
-import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
+import {acquireUpstream, combineRunStates, recordAttemptEnd} from './grants.js';
 
 /** Call to a service, with everything that its attempts need. */
 export type CallRun = {
@@ -20,7 +20,7 @@
 	headers: OutgoingHttpHeaders;
 	body: Uint8Array;
 	/** Aborted when the caller has disconnected. A non-idempotent call continues nevertheless once it has been sent. */
-	callerGone: AbortSignal;
+	callerDisconnected: AbortSignal;
 	receiver: ResponseReceiver;
 };
 
@@ -77,7 +77,7 @@
 };
 
 const runAttempt = async (context: HostContext, run: CallRun, progress: Progress, {upstream}: Extract<Grant, {kind: 'granted'}>): Promise<CallAttemptEnd> => {
-	const {request, method, path, headers, body, callerGone, receiver} = run;
+	const {request, method, path, headers, body, callerDisconnected, receiver} = run;
 	const startedAt = context.clock.monotonic();
 	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream});
 	const address = context.getDirectory().byId.get(upstream)?.address ?? '';
@@ -87,7 +87,7 @@
 		path,
 		headers,
 		body: Buffer.from(body.buffer, body.byteOffset, body.byteLength),
-		...(request.idempotent && {signal: callerGone}),
+		...(request.idempotent && {signal: callerDisconnected}),
 	}, receiver, !request.idempotent);
 	const end = attempt.kind === 'lost' ? await detectCrash(context.upstreams, address, attempt) : attempt;
 	const failure = getAttemptFailure(end);
@@ -115,12 +115,12 @@
 		}
 
 		case 'cut': {
-			return run.callerGone.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.failure, 'ran');
+			return run.callerDisconnected.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.failure, 'ran');
 		}
 
 		case 'lost': {
-			const ran = joinRunStates(progress.ran, end.ran);
-			if (run.request.idempotent && run.callerGone.aborted) {
+			const ran = combineRunStates(progress.ran, end.ran);
+			if (run.request.idempotent && run.callerDisconnected.aborted) {
 				return {kind: 'stopped', ran};
 			}
 
@@ -135,7 +135,7 @@
 	for (;;) {
 		progress = {...progress, attempts: progress.attempts + 1};
 		// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-		const grant = await acquireUpstream(context, run.request, run.callerGone, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
+		const grant = await acquireUpstream(context, run.request, run.callerDisconnected, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
 		switch (grant.kind) {
 			case 'withdrawn': {
 				return {kind: 'stopped', ran: progress.ran};
--- a/packages/router/src/dispatch/run-claimed.ts
+++ b/packages/router/src/dispatch/run-claimed.ts
@@ -76,7 +76,7 @@
 };
 
 /** Runs a non-idempotent request under its claim: `run` is called at most once, and only after the claim has been stored. */
-export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, run: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
+export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, runRequest: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
 	const key = {customer: request.customer, key: request.idempotencyKey ?? ''};
 	const decision = await context.claims.join({
 		key,
@@ -89,7 +89,7 @@
 	context.metrics.count('claims_total', {decision: decision.kind});
 	switch (decision.kind) {
 		case 'start': {
-			const end = await run();
+			const end = await runRequest();
 			context.claims.settle({
 				key, request: request.id, outcome: getOutcome(end), ...(end.upstream !== undefined && {upstream: end.upstream}),
 			});
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -8,7 +8,7 @@
 import type {HostContext} from '../host-context.js';
 import {detectCrash, type FailedAttempt} from './failed-attempt.js';
 import {runGenerationAttempt, type GenerationAttemptEnd} from './generation-attempt.js';
-import {acquireUpstream, joinRunStates, recordAttemptEnd} from './grants.js';
+import {acquireUpstream, combineRunStates, recordAttemptEnd} from './grants.js';
 
 /** Generation, with everything that its attempts need. */
 export type GenerationRun = {
@@ -58,7 +58,7 @@
 	avoid: end.result.kind === 'lost' ? [...progress.avoid, upstream] : progress.avoid,
 	text: progress.text + end.text,
 	tokens: progress.tokens + end.tokens,
-	ran: joinRunStates(progress.ran, ran),
+	ran: combineRunStates(progress.ran, ran),
 });
 
 const handleFailedAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, failedAttempt: FailedAttempt): Promise<Step> => {
--- a/packages/router/src/event-loop-monitor.ts
+++ b/packages/router/src/event-loop-monitor.ts
@@ -1,17 +1,18 @@
 import {monitorEventLoopDelay} from 'node:perf_hooks';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Measures how late the event loop runs. */
+/** Measures the lag of the event loop. */
 export type EventLoopMonitor = {
-	/** Mean lateness since the last call. */
+	/** Returns the mean lag since the last call. */
 	readLag: () => Milliseconds;
 	stop: () => void;
 };
 
+/** Sampling interval of the histogram, which is included in its values. */
 const resolution: Milliseconds = 10;
 const nanosecondsPerMillisecond = 1_000_000;
 
-/** Starts to measure the event loop. */
+/** Starts to measure the lag of the event loop. */
 export const createEventLoopMonitor = (): EventLoopMonitor => {
 	const histogram = monitorEventLoopDelay({resolution});
 	histogram.enable();
--- a/packages/router/src/faults.test.ts
+++ b/packages/router/src/faults.test.ts
@@ -46,29 +46,29 @@
 
 const findRunning = () => getEngines().find(engine => engine.getState().running > 0);
 
-test('an answer whose engine crashes goes on at another without a gap or a repeat', async () => {
-	const undisturbed = getText(await readStream(sendChat('crash in the middle #tokens=120', 200)));
+test('a response whose engine crashes is resumed on another one without a gap or repeated text', async () => {
+	const expectedText = getText(await readStream(sendChat('crash in the middle #tokens=120', 200)));
 	const response = await sendChat('crash in the middle #tokens=120', 200, {host: 1});
 	await expect.poll(() => findRunning()?.getState().running).toBe(1);
 	const engine = findRunning();
 	await setFaults(engine, {crash: true, restartAfterMs: 300});
 	const stream = await response.text();
-	expect(getText(stream)).toBe(undisturbed);
+	expect(getText(stream)).toBe(expectedText);
 	expect(stream.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('an answer whose connection goes silent goes on at another without a gap or a repeat', async () => {
-	const undisturbed = getText(await readStream(sendChat('silent in the middle #tokens=120', 200)));
+test('a response whose connection goes silent is resumed on another engine without a gap or repeated text', async () => {
+	const expectedText = getText(await readStream(sendChat('silent in the middle #tokens=120', 200)));
 	const response = await sendChat('silent in the middle #tokens=120', 200, {host: 1});
 	await expect.poll(() => findRunning()?.getState().running).toBe(1);
 	const engine = findRunning();
 	await setFaults(engine, {silent: 'open'});
 	const stream = await response.text();
-	expect(getText(stream)).toBe(undisturbed);
+	expect(getText(stream)).toBe(expectedText);
 	expect(stream.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('a request that crashes each engine takes down at most two', async () => {
+test('a request that crashes every engine that runs it crashes at most two', async () => {
 	for (const engine of getEngines()) {
 		Object.assign(engine.faults, {crashOnPrompt: 'poison', restartAfterMs: 200});
 	}
@@ -76,14 +76,14 @@
 	const before = getEngines().reduce((sum, engine) => sum + engine.getState().crashes, 0);
 	const first = await sendChat('poison here', 50);
 	expect(first.headers.get('x-error-kind') ?? (await first.text())).toContain('crashes-upstreams');
-	const resend = await sendChat('  Poison  HERE ', 50, {host: 1});
-	expect(resend.status).toBe(422);
-	await resend.text();
+	const repeated = await sendChat('  Poison  HERE ', 50, {host: 1});
+	expect(repeated.status).toBe(422);
+	await repeated.text();
 	const after = getEngines().reduce((sum, engine) => sum + engine.getState().crashes, 0);
 	expect(after - before).toBe(2);
 });
 
-test('a leaving engine gets nothing new and comes back', async () => {
+test('a draining engine gets no new requests until the drain ends', async () => {
 	const serving = getEngines().find(engine => engine.getState().holdings.models.includes('reader-14b'));
 	const leaving = serving;
 	const id = [...fleet.fakes.engines].find(([, engine]) => engine === leaving)?.[0] ?? '';
--- a/packages/router/src/host-context.ts
+++ b/packages/router/src/host-context.ts
@@ -11,7 +11,7 @@
 import type {Limits} from './limits.js';
 import type {InFlightRequests} from './in-flight-requests.js';
 
-/** What handling a caller's request takes. */
+/** Dependencies of the code that handles callers' requests. */
 export type HostContext = {
 	settings: Settings;
 	incarnation: Incarnation;
@@ -20,16 +20,16 @@
 	logger: Logger;
 	metrics: Metrics;
 	createRequestId: () => RequestId;
-	/** Configuration in force; undefined until the host has one. */
+	/** Returns the current configuration; undefined while the host has none, or is cut off from the key-value service and all other hosts. */
 	getConfiguration: () => ConfigurationVersion | undefined;
 	getDirectory: () => UpstreamDirectory;
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
-	/** Account of a request from this host, another host, or its claim. */
+	/** Reads the account of a request from this host, another host or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
 	recordSighting: (sighting: UpstreamSighting) => void;
-	/** Lowest rank that the host takes while it is overloaded; undefined for all. */
+	/** Returns the rank of the lowest tier that the host admits while it is overloaded; undefined if it admits all. */
 	getRankLimit: () => Rank | undefined;
-	/** Whether callers are asked to go elsewhere with their next request. */
+	/** Whether the host closes callers' connections after each response, so that their next request goes to another host. */
 	isDraining: () => boolean;
 	inFlightRequests: InFlightRequests;
 	grants: GrantClient;
--- a/packages/router/src/host.test.ts
+++ b/packages/router/src/host.test.ts
@@ -31,10 +31,10 @@
 		...(signal !== undefined && {signal}),
 	});
 
-const chat = (content: string, rest: Record<string, unknown> = {}): string =>
+const createChatBody = (content: string, rest: Record<string, unknown> = {}): string =>
 	JSON.stringify({model: 'counter-8b', messages: [{role: 'user', content}], ...rest});
 
-const readKind = async (response: Response): Promise<string> => {
+const readErrorKind = async (response: Response): Promise<string> => {
 	await response.text();
 	return response.headers.get('x-error-kind') ?? '';
 };
@@ -44,33 +44,33 @@
 	return await response.json() as Account;
 };
 
-const getGenerated = (): number => [...fleet.fakes.engines.values()].reduce((sum, engine) => sum + engine.getState().received, 0);
+const countGenerations = (): number => [...fleet.fakes.engines.values()].reduce((sum, engine) => sum + engine.getState().received, 0);
 
-const getCalls = () => [...fleet.fakes.services.values()].flatMap(({calls}) => calls);
+const getServiceCalls = () => [...fleet.fakes.services.values()].flatMap(({calls}) => calls);
 
-test('a whole answer and a stream hold the same text', async () => {
-	const whole = await call('/v1/chat/completions', {body: chat('same text')});
+test('a complete response and a streamed one hold the same text', async () => {
+	const whole = await call('/v1/chat/completions', {body: createChatBody('same text')});
 	const {choices} = await whole.json() as {choices: Array<{message: {content: string}}>};
-	const stream = await call('/v1/chat/completions', {body: chat('same text', {stream: true}), host: 1});
+	const stream = await call('/v1/chat/completions', {body: createChatBody('same text', {stream: true}), host: 1});
 	const text = await stream.text();
 	const events = text.split('\n\n').filter(event => event.startsWith('data: {'));
-	const pieces = events.map(event => (JSON.parse(event.slice(6)) as {choices: Array<{delta: {content?: string}}>}).choices[0]?.delta.content ?? '');
-	expect(pieces.join('')).toBe(choices[0]?.message.content);
+	const deltas = events.map(event => (JSON.parse(event.slice(6)) as {choices: Array<{delta: {content?: string}}>}).choices[0]?.delta.content ?? '');
+	expect(deltas.join('')).toBe(choices[0]?.message.content);
 	expect(stream.headers.get('x-ran')).toBe('ran');
 });
 
-test('each bad request has its kind, and nothing goes upstream', async () => {
-	const before = getGenerated() + getCalls().length;
+test('each invalid request gets its error kind, and nothing is sent upstream', async () => {
+	const before = countGenerations() + getServiceCalls().length;
 	const path = '/v1/chat/completions';
 	const cases: Array<[string, Promise<Response>]> = [
 		['missing-key', call('/v1/models', {key: ''})],
 		['wrong-key', call('/v1/models', {key: 'nobody'})],
 		['bad-json', call(path, {body: '{'})],
 		['bad-request', call(path, {body: '{"model":"counter-8b"}'})],
-		['bad-request', call(path, {body: chat('a', {tools: []})})],
-		['unknown-model', call(path, {body: chat('a', {model: 'none'})})],
-		['unknown-class', call(path, {body: chat('a'), headers: {'x-class': 'none'}})],
-		['body-too-large', call(path, {body: chat('a'.repeat(200_000))})],
+		['bad-request', call(path, {body: createChatBody('a', {tools: []})})],
+		['unknown-model', call(path, {body: createChatBody('a', {model: 'none'})})],
+		['unknown-class', call(path, {body: createChatBody('a'), headers: {'x-class': 'none'}})],
+		['body-too-large', call(path, {body: createChatBody('a'.repeat(200_000))})],
 		['key-missing', call('/v1/services/orders/cut-orders', {body: '{}'})],
 		['key-invalid', call('/v1/services/orders/cut-orders', {body: '{}', headers: {'idempotency-key': 'a b'}})],
 		['bad-request', call('/v1/services/orders/stock%2F..%2Fcut-orders')],
@@ -79,11 +79,11 @@
 		['unknown-request', call('/v1/requests/none')],
 	];
 	for (const [kind, pending] of cases) {
-		// eslint-disable-next-line no-await-in-loop -- The cases are under way together; this only reads the answers.
-		expect(await readKind(await pending)).toBe(kind);
+		// eslint-disable-next-line no-await-in-loop -- The requests run concurrently; this only reads the responses.
+		expect(await readErrorKind(await pending)).toBe(kind);
 	}
 
-	expect(getGenerated() + getCalls().length).toBe(before);
+	expect(countGenerations() + getServiceCalls().length).toBe(before);
 });
 
 const sendRaw = async (text: string): Promise<string> => new Promise(resolve => {
@@ -99,20 +99,20 @@
 	socket.write(text);
 });
 
-test('a path that a service may read as another is refused', async () => {
+test('a path that a service could normalise to another path is refused', async () => {
 	for (const path of ['stock/../cut-orders', 'stock/%2e%2E/cut-orders', 'stock/.', String.raw`stock\..\cut-orders`]) {
-		// eslint-disable-next-line no-await-in-loop -- One after another.
+		// eslint-disable-next-line no-await-in-loop -- Requests are sent one after another.
 		const answer = await sendRaw(`POST /v1/services/orders/${path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer ${fleet.key}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n`);
 		expect(answer).toContain('x-error-kind: bad-request');
 	}
 });
 
-test('a query may hold what a path may not', async () => {
+test('a query string may hold dot segments and encoded slashes', async () => {
 	const answer = await call('/v1/services/orders/stock/3?place=a%2F..%2Fb');
 	expect(answer.status).toBe(200);
 });
 
-test('slow and malformed requests are refused by kind', async () => {
+test('slow and malformed requests are refused with their error kinds', async () => {
 	const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer ${fleet.key}\r\ncontent-length: 100\r\nconnection: close\r\n\r\n{`;
 	expect(await sendRaw(head)).toContain('x-error-kind: body-timeout');
 	expect(await sendRaw('GET /v1/models HTTP/1.1\r\nhost: a\r\n')).toContain('x-error-kind: body-timeout');
@@ -121,72 +121,72 @@
 	expect(await sendRaw('GET /v1/models HTTP/1.1\r\nhost: a\r\nauthorization: Bearer a\r\nauthorization: Bearer b\r\nconnection: close\r\n\r\n')).toContain('x-error-kind: repeated-header');
 });
 
-const book = async (key: string, body: string, host = 0): Promise<Response> =>
+const sendBooking = async (key: string, body: string, host = 0): Promise<Response> =>
 	call('/v1/services/orders/cut-orders', {body, host, headers: {'idempotency-key': key}});
 
-test('the same booking at two hosts at once runs once', async () => {
-	const answers = await Promise.all([book('twice', '{"bar":1}', 0), book('twice', '{"bar":1}', 1), book('twice', '{"bar":1}', 0)]);
+test('a booking that is sent to two hosts at once runs once', async () => {
+	const answers = await Promise.all([sendBooking('twice', '{"bar":1}', 0), sendBooking('twice', '{"bar":1}', 1), sendBooking('twice', '{"bar":1}', 0)]);
 	const bodies = new Set(await Promise.all(answers.map(async answer => answer.text())));
 	expect(bodies.size).toBe(1);
 	expect(answers.map(({status}) => status)).toEqual([200, 200, 200]);
-	expect(getCalls().filter(({idempotencyKey}) => idempotencyKey === 'twice')).toHaveLength(1);
-	expect(await readKind(await book('twice', '{"bar":2}'))).toBe('key-mismatch');
+	expect(getServiceCalls().filter(({idempotencyKey}) => idempotencyKey === 'twice')).toHaveLength(1);
+	expect(await readErrorKind(await sendBooking('twice', '{"bar":2}'))).toBe('key-mismatch');
 });
 
-test('a booking whose caller leaves still runs, and its account tells', async () => {
+test('a booking whose caller disconnects still runs, and its account says so', async () => {
 	const aborting = new AbortController();
 	const pending = call('/v1/services/orders/cut-orders', {body: '{"bar":9}', headers: {'idempotency-key': 'left'}, signal: aborting.signal});
 	await expect.poll(() => fleet.fakes.keyValue.store.list('claims/').length).toBeGreaterThan(0);
 	aborting.abort();
 	await pending.catch(() => undefined);
-	const again = await book('left', '{"bar":9}', 1);
-	expect(again.status).toBe(200);
-	expect(getCalls().filter(({idempotencyKey}) => idempotencyKey === 'left')).toHaveLength(1);
-	const id = again.headers.get('x-original-request-id') ?? again.headers.get('x-request-id') ?? '';
+	const repeated = await sendBooking('left', '{"bar":9}', 1);
+	expect(repeated.status).toBe(200);
+	expect(getServiceCalls().filter(({idempotencyKey}) => idempotencyKey === 'left')).toHaveLength(1);
+	const id = repeated.headers.get('x-original-request-id') ?? repeated.headers.get('x-request-id') ?? '';
 	expect(await readAccount(id, 1)).toMatchObject({ran: 'ran', state: {kind: 'finished'}});
 });
 
-test('a question whose caller leaves is cancelled at the engine', async () => {
+test('a chat request whose caller disconnects is cancelled at the engine', async () => {
 	const aborting = new AbortController();
-	const response = await call('/v1/chat/completions', {body: chat('long #tokens=2000', {stream: true}), signal: aborting.signal});
+	const response = await call('/v1/chat/completions', {body: createChatBody('long #tokens=2000', {stream: true}), signal: aborting.signal});
 	const id = response.headers.get('x-request-id') ?? '';
 	aborting.abort();
 	await expect.poll(async () => readAccount(id)).toMatchObject({state: {kind: 'cancelled'}});
 });
 
-test('another customer\'s request is not shown', async () => {
-	const response = await call('/v1/chat/completions', {body: chat('mine')});
+test('the account of another customer\'s request is not returned', async () => {
+	const response = await call('/v1/chat/completions', {body: createChatBody('mine')});
 	const id = response.headers.get('x-request-id') ?? '';
 	expect(await readAccount(id, 1)).toMatchObject({id, ran: 'ran'});
-	expect(await readKind(await call(`/v1/requests/${id}`, {key: fleet.otherKey}))).toBe('unknown-request');
+	expect(await readErrorKind(await call(`/v1/requests/${id}`, {key: fleet.otherKey}))).toBe('unknown-request');
 });
 
-test('in an outage of the service questions go on and bookings are refused as not run', async () => {
+test('during an outage of the key-value service chat requests succeed and bookings are refused as not run', async () => {
 	Object.assign(fleet.fakes.keyValue.faults, {outage: true});
-	const question = await call('/v1/chat/completions', {body: chat('still there')});
-	const booking = await book('outage', '{"bar":3}');
+	const question = await call('/v1/chat/completions', {body: createChatBody('still there')});
+	const booking = await sendBooking('outage', '{"bar":3}');
 	expect(question.status).toBe(200);
 	expect(booking.headers.get('x-ran')).toBe('not-run');
-	expect(await readKind(booking)).toBe('claims-unavailable');
+	expect(await readErrorKind(booking)).toBe('claims-unavailable');
 	Object.assign(fleet.fakes.keyValue.faults, {outage: false});
-	expect(getCalls().filter(({idempotencyKey}) => idempotencyKey === 'outage')).toHaveLength(0);
-	await expect.poll(async () => readKind(await book('outage', '{"bar":3}', 1))).toBe('');
+	expect(getServiceCalls().filter(({idempotencyKey}) => idempotencyKey === 'outage')).toHaveLength(0);
+	await expect.poll(async () => readErrorKind(await sendBooking('outage', '{"bar":3}', 1))).toBe('');
 });
 
-test('a booking whose upstream resets is unknown and isn\'t sent again', async () => {
+test('a booking whose upstream resets the connection has an unknown outcome and isn\'t sent again', async () => {
 	const instances = [...fleet.fakes.services.entries()].filter(([id]) => id.includes('orders'));
 	for (const [, {faults}] of instances) {
 		Object.assign(faults, {loseReplies: 1});
 	}
 
-	const response = await book('reset', '{"bar":4}');
+	const response = await sendBooking('reset', '{"bar":4}');
 	expect(response.headers.get('x-ran')).toBe('unknown');
 	await response.text();
 	for (const [, {faults}] of instances) {
 		Object.assign(faults, {loseReplies: 0});
 	}
 
-	const again = await book('reset', '{"bar":4}', 1);
-	expect(again.headers.get('x-ran')).toBe('unknown');
-	expect(getCalls().filter(({idempotencyKey}) => idempotencyKey === 'reset')).toHaveLength(1);
+	const repeated = await sendBooking('reset', '{"bar":4}', 1);
+	expect(repeated.headers.get('x-ran')).toBe('unknown');
+	expect(getServiceCalls().filter(({idempotencyKey}) => idempotencyKey === 'reset')).toHaveLength(1);
 });
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -124,13 +124,13 @@
 		return {state: (force === true ? shutdown.force() : shutdown.begin('operator')).kind};
 	},
 	undrain: () => ({state: shutdown.cancel().kind}),
-	setUpstreamDrain(upstream, drain) {
+	setUpstreamDrain(upstream, isDraining) {
 		if (!getDirectory().byId.has(upstream)) {
 			throw createFailure('bad-request', {detail: `No upstream is named ${upstream}.`});
 		}
 
-		upstreamMonitor.setOperatorDrain(upstream, drain);
-		return {upstream, leaving: drain};
+		upstreamMonitor.setOperatorDrain(upstream, isDraining);
+		return {upstream, leaving: isDraining};
 	},
 	setLogLevel(body) {
 		const {level} = parse(levelBody, body);
--- a/packages/router/src/host/scheduling.ts
+++ b/packages/router/src/host/scheduling.ts
@@ -51,6 +51,7 @@
 /** Creates the components of a host that schedule requests and enforce limits. */
 export const createScheduling = ({settings, incarnation, clock, random, metrics, fleet, peers}: SchedulingOptions): Scheduling => {
 	const {host: self} = settings;
+	// Scheduler mechanisms that the settings disable.
 	const without = getMechanisms(settings.without);
 	let groups: readonly Group[] = [];
 	let limits: ReadonlyMap<string, Limit> = new Map();
--- a/packages/router/src/host/suspect-gossip.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -25,10 +25,10 @@
 */
 export const startSuspectGossip = ({clock, self, membership, groupOwner}: SuspectGossipOptions): Cancel => {
 	const {every} = clock;
-	const knownCrashes = new Map<string, number>();
+	const knownCrashCounts = new Map<string, number>();
 
 	const publish = ({fingerprint, crashes, expiresAt}: Suspect): void => {
-		knownCrashes.set(fingerprint, crashes.length);
+		knownCrashCounts.set(fingerprint, crashes.length);
 		membership.publishNote({
 			topic: 'suspect-request', key: fingerprint, value: crashes.join(crashSeparator), duration: expiresAt - clock.now(),
 		});
@@ -37,20 +37,20 @@
 	const cancelTimer = every(publishInterval, () => {
 		const suspects = groupOwner.getSuspects();
 		for (const suspect of suspects.values()) {
-			if (suspect.crashes.length > (knownCrashes.get(suspect.fingerprint) ?? 0) && suspect.expiresAt > clock.now()) {
+			if (suspect.crashes.length > (knownCrashCounts.get(suspect.fingerprint) ?? 0) && suspect.expiresAt > clock.now()) {
 				publish(suspect);
 			}
 		}
 
-		for (const fingerprint of knownCrashes.keys()) {
+		for (const fingerprint of knownCrashCounts.keys()) {
 			if (!suspects.has(fingerprint)) {
-				knownCrashes.delete(fingerprint);
+				knownCrashCounts.delete(fingerprint);
 			}
 		}
 	});
 	const cancelListener = membership.onNote(note => {
 		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
-			knownCrashes.set(note.key, note.value.split(crashSeparator).length);
+			knownCrashCounts.set(note.key, note.value.split(crashSeparator).length);
 			groupOwner.applySuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
 		}
 	});
--- a/packages/router/src/host/upstream-monitor.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -49,7 +49,7 @@
 const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamSighting['kind']>;
 
 /** Applies an announcement of another host to the health of upstreams. */
-const applyGossip = (health: UpstreamHealth, clock: Clock, note: Note): void => {
+const applyAnnouncement = (health: UpstreamHealth, clock: Clock, note: Note): void => {
 	switch (note.topic) {
 		case 'upstream-failed': {
 			const kind = sightingKinds.find(name => name === note.value);
@@ -165,7 +165,7 @@
 	const cancels = [
 		membership.onNote(note => {
 			if (note.host !== self) {
-				applyGossip(health, clock, note);
+				applyAnnouncement(health, clock, note);
 			}
 		}),
 		every(standingCheckInterval, checkStandings),
--- a/packages/router/src/in-flight-requests.ts
+++ b/packages/router/src/in-flight-requests.ts
@@ -1,13 +1,13 @@
-/** Requests of callers that are under way, so that a host knows when it may stop. */
+/** Counts the requests of callers that are in flight, so that a host knows when it may stop. */
 export type InFlightRequests = {
-	/** Counts a request; the result is called when it has ended. */
+	/** Counts a request; call the returned function when it has ended. */
 	begin: () => () => void;
 	getCount: () => number;
 	/** Aborted when an operator forces the host to stop. */
 	abortController: AbortController;
 };
 
-/** Creates an empty count. */
+/** Creates a counter without requests. */
 export const createInFlightRequests = (): InFlightRequests => {
 	let count = 0;
 	return {
--- a/packages/router/src/limits.ts
+++ b/packages/router/src/limits.ts
@@ -6,20 +6,20 @@
 	ClassifiedRequest, Configuration, Customer, Milliseconds,
 } from '@gentianlift/types';
 
-/** Answer of the limits to a request. */
+/** Decision on a request by its customer's limits. */
 export type LimitDecision
 	= | {kind: 'taken'; release: (tokens: number) => void}
 		| {kind: 'refused'; error: Extract<ErrorKind, 'customer-rate' | 'customer-tokens' | 'customer-concurrency'>; retryAfter: Milliseconds};
 
-/** Limits that hold over all hosts. */
+/** Limits of customers, shared by all hosts, and retry budgets of classes. */
 export type Limits = {
-	/** Takes a request into account; `release` tells its end and the tokens that it used. */
+	/** Acquires the limits for a request; `release` records its end and the tokens that it used. */
 	acquire: (customer: Customer, request: ClassifiedRequest) => Promise<LimitDecision>;
-	/** Takes one retry of a class's budget; false if none is left. */
+	/** Acquires one retry from the budget of the request's class; false if the budget is exhausted. */
 	acquireRetry: (request: ClassifiedRequest) => boolean;
 };
 
-/** What the limits are made of. */
+/** Dependencies of the limits. */
 export type LimitsOptions = {
 	quota: QuotaClient;
 	budgets: RetryBudgets;
@@ -34,7 +34,7 @@
 	return limit.startsWith('requests:') ? 'customer-rate' : 'customer-concurrency';
 };
 
-/** Creates the limits of customers and the retry budgets of classes. Tokens are counted when they are known, so a customer may overrun its rate by the answers under way. */
+/** Creates the limits of customers and the retry budgets of classes. Tokens are counted when a request ends, so a customer may exceed its token rate by the responses in flight. */
 export const createLimits = ({quota, budgets, getConfiguration}: LimitsOptions): Limits => ({
 	async acquire(customer, request) {
 		const requests = getRequestLimit(customer.id);
--- a/packages/router/src/operators/commands/index.ts
+++ b/packages/router/src/operators/commands/index.ts
@@ -1,8 +1,10 @@
-/** What operators may tell a host to do; each throws `bad-request` for a body that it can't read. */
+/** Commands that a host accepts from operators. Each throws `bad-request` for an invalid body. */
 export type OperatorCommands = {
-	/** Starts a graceful shutdown; with `{"force": true}` one that cuts requests short. */
+	/** Begins a graceful shutdown; with `{"force": true}`, one that aborts the requests in flight. */
 	drain: (body: unknown) => {state: string};
+	/** Cancels a graceful shutdown while the host still listens. */
 	undrain: () => {state: string};
-	setUpstreamDrain: (upstream: string, drain: boolean) => {upstream: string; leaving: boolean};
+	/** Begins or ends the drain of an upstream on all hosts. */
+	setUpstreamDrain: (upstream: string, isDraining: boolean) => {upstream: string; leaving: boolean};
 	setLogLevel: (body: unknown) => {level: string};
 };
--- a/packages/router/src/operators/operator-server.ts
+++ b/packages/router/src/operators/operator-server.ts
@@ -6,12 +6,13 @@
 import type {OperatorCommands} from './commands/index.js';
 import type {OperatorQueries} from './queries/index.js';
 
-/** What the operators' listener answers with. */
+/** Queries and commands that the operators' listener serves. */
 export type OperatorActions = {
 	queries: OperatorQueries;
 	commands: OperatorCommands;
 };
 
+/** Route of the operators' listener; `parameters` are the decoded capture groups of `path`. */
 type Route = {
 	method: 'GET' | 'POST';
 	path: RegExp;
@@ -89,7 +90,7 @@
 	throw createFailure('unknown-path');
 };
 
-/** Creates the operators' HTTP server; it isn't listening yet. */
+/** Creates the HTTP server for operators. It isn't listening yet. */
 export const createOperatorServer = (actions: OperatorActions): Server => createServer((request, response) => {
 	handleRequest(actions, request, response).catch((error: unknown) => {
 		sendFailure(response, getFailure(error), '');
--- a/packages/router/src/operators/queries/index.ts
+++ b/packages/router/src/operators/queries/index.ts
@@ -2,10 +2,10 @@
 	Account, HostId, HostState, Incarnation, Member, Milliseconds, UpstreamId, Zone,
 } from '@gentianlift/types';
 
-/** Whether the host takes requests, and why not. */
+/** Whether the host is ready for requests, and the reason if it isn't. */
 export type Readiness = {ready: boolean; reason?: string};
 
-/** How a host stands, `GET /operator/status`. */
+/** Status of a host, the response to `GET /operator/status`. */
 export type HostStatus = {
 	host: HostId;
 	zone: Zone;
@@ -13,13 +13,13 @@
 	state: HostState;
 	ready: boolean;
 	configurationVersion: number;
-	/** False while the host can't tell whether its configuration is the newest. */
+	/** False while the host can't determine whether its configuration is the newest. */
 	configurationConfirmed: boolean;
 	requests: {waiting: number; running: number};
 	eventLoopLag: Milliseconds;
 };
 
-/** How an upstream stands at a host, in `GET /operator/upstreams`. */
+/** Status of an upstream as seen by a host, in the response to `GET /operator/upstreams`. */
 export type UpstreamStatus = {
 	id: UpstreamId;
 	zone: Zone;
@@ -30,7 +30,7 @@
 	waiting: number;
 };
 
-/** What operators may ask of a host. */
+/** Queries that a host answers for operators. */
 export type OperatorQueries = {
 	getHealth: () => {healthy: boolean};
 	getReadiness: () => Readiness;
@@ -38,6 +38,6 @@
 	getStatus: () => HostStatus;
 	getHosts: () => {hosts: Member[]};
 	getUpstreams: () => {upstreams: UpstreamStatus[]};
-	/** Throws `unknown-request`. */
+	/** Returns the account of a request; throws `unknown-request` if there is none. */
 	readAccount: (id: string) => Promise<Account>;
 };
--- a/packages/router/src/shutdown.test.ts
+++ b/packages/router/src/shutdown.test.ts
@@ -6,7 +6,7 @@
 	return status;
 };
 
-test('a drained host leaves the addresses, finishes its streams, and ends with 0', async () => {
+test('a draining host leaves the host list, completes its streams and exits with status 0', async () => {
 	const fleet = await startFleet(2);
 	const [leaving, staying] = fleet.hosts;
 	const callers = `http://${leaving?.settings.callerAddress}`;
@@ -18,25 +18,25 @@
 			model: 'counter-8b', max_tokens: 200, stream: true, messages: [{role: 'user', content: 'long answer #tokens=200'}],
 		}),
 	});
-	const running = await sendChat();
+	const runningResponse = await sendChat();
 	leaving?.stop('test');
 	leaving?.stop('again');
 	expect(await readStatus(`${operators}/ready`)).toBe(503);
-	const late = await sendChat();
-	expect(late.headers.get('connection')).toBe('close');
+	const lateResponse = await sendChat();
+	expect(lateResponse.headers.get('connection')).toBe('close');
 	const readHosts = async (): Promise<string[]> => {
 		const answer = await fetch(`http://${staying?.settings.callerAddress}/v1/hosts`);
 		return (await answer.json() as {hosts: Array<{host: string}>}).hosts.map(({host}) => host);
 	};
 
 	await expect.poll(readHosts).toEqual([staying?.settings.host]);
-	expect(await running.text()).toContain('data: [DONE]');
-	expect(await late.text()).toContain('data: [DONE]');
+	expect(await runningResponse.text()).toContain('data: [DONE]');
+	expect(await lateResponse.text()).toContain('data: [DONE]');
 	expect(await leaving?.ended).toBe(0);
 	await fleet.close();
 });
 
-test('a forced stop tells the caller and ends with 1', async () => {
+test('a forced stop reports the error to the caller and exits with status 1', async () => {
 	const fleet = await startFleet(1);
 	const [host] = fleet.hosts;
 	const response = await fetch(`http://${host?.settings.callerAddress}/v1/chat/completions`, {
@@ -52,7 +52,7 @@
 	await fleet.close();
 });
 
-test('a drained host can be taken back while it listens', async () => {
+test('a drain can be cancelled while the host listens', async () => {
 	const fleet = await startFleet(1, {addressTimeToLive: 60_000});
 	const operators = `http://${fleet.hosts[0]?.settings.operatorAddress}`;
 	await fetch(`${operators}/operator/drain`, {method: 'POST'});
--- a/packages/router/src/testing/start-fleet.ts
+++ b/packages/router/src/testing/start-fleet.ts
@@ -6,21 +6,21 @@
 import type {Configuration, Settings} from '@gentianlift/types';
 import {startHost, type RunningHost} from '../host/start-host.js';
 
-/** A host in this process, for tests. */
+/** Host that runs in the process of the test. */
 export type TestHost = RunningHost & {
 	settings: Settings;
 	/** Resolves with the exit status once the host has ended. */
 	ended: Promise<number>;
 };
 
-/** Stand-ins and hosts in this process, for tests. */
+/** Fake platform services, fake upstreams and hosts that run in the process of the test. */
 export type TestFleet = {
 	fakes: Standins;
 	configuration: Configuration;
 	hosts: TestHost[];
-	/** Key of a customer that may use all classes of the Kopi example. */
+	/** API key of a customer that may use all classes of the Kopi example. */
 	key: string;
-	/** Key of another customer. */
+	/** API key of another customer. */
 	otherKey: string;
 	close: () => Promise<void>;
 };
@@ -45,7 +45,7 @@
 	return {...host, settings, ended};
 };
 
-/** Starts the Kopi example with some hosts; `extra` settings are shared by all. */
+/** Starts the Kopi example with `count` hosts; the `extra` settings apply to each of them. */
 export const startFleet = async (count: number, extra: Partial<Settings> = {}): Promise<TestFleet> => {
 	const {configuration: example, keys} = await readExample('kopi');
 	const fakes = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
--- a/packages/router/src/upstream-directory.ts
+++ b/packages/router/src/upstream-directory.ts
@@ -2,23 +2,23 @@
 	Address, Configuration, Fencing, UpstreamId, Zone,
 } from '@gentianlift/types';
 
-/** What the router has to know of an upstream to call it. */
+/** Address and properties of an upstream that the router needs to call it. */
 export type UpstreamEntry = {
 	id: UpstreamId;
 	kind: 'engine' | 'service';
 	address: Address;
 	zone: Zone;
-	/** Service instances have no fencing. */
+	/** Undefined for service instances, which have no fencing. */
 	fencing?: Fencing;
 };
 
-/** Upstreams by name and by address. */
+/** Upstreams of a configuration by id and by address. */
 export type UpstreamDirectory = {
 	byId: ReadonlyMap<UpstreamId, UpstreamEntry>;
 	byAddress: ReadonlyMap<Address, UpstreamEntry>;
 };
 
-/** Gets the upstreams of a configuration. */
+/** Creates the directory of a configuration's upstreams. */
 export const createUpstreamDirectory = ({inventory}: Configuration): UpstreamDirectory => {
 	const engines = inventory.engines.map(({id, address, zone, fencing}): UpstreamEntry => ({
 		id, kind: 'engine', address, zone, fencing,
