--- a/packages/router/src/faults.test.ts
+++ b/packages/router/src/faults.test.ts
@@ -83,7 +83,7 @@
 	expect(after - before).toBe(2);
 });
 
-test('a draining engine gets no new requests until the drain ends', async () => {
+test('a draining engine gets no new requests, and is available again after the drain', async () => {
 	const serving = getEngines().find(engine => engine.getState().holdings.models.includes('reader-14b'));
 	const leaving = serving;
 	const id = [...fleet.fakes.engines].find(([, engine]) => engine === leaving)?.[0] ?? '';
--- a/packages/router/src/host/graceful-shutdown.ts
+++ b/packages/router/src/host/graceful-shutdown.ts
@@ -38,7 +38,7 @@
 /** Options of a graceful shutdown; `timeToLive` is the time for which callers may cache an address. */
 export type GracefulShutdownOptions = {clock: Clock; logger: Logger; timeToLive: Milliseconds; steps: ShutdownSteps};
 
-const checkInterval: Milliseconds = 50;
+const inFlightCheckInterval: Milliseconds = 50;
 /** Margin beyond the time to live of addresses, for callers with late clocks or delayed requests. */
 const lateCallerMargin: Milliseconds = 500;
 
@@ -51,7 +51,7 @@
 	const waitForRequests = async (): Promise<void> => {
 		while (steps.getInFlightCount() > 0) {
 			// eslint-disable-next-line no-await-in-loop -- Waits without a limit until the last request has ended.
-			await clock.sleep(checkInterval);
+			await clock.sleep(inFlightCheckInterval);
 		}
 	};
 
--- a/packages/router/src/shutdown.test.ts
+++ b/packages/router/src/shutdown.test.ts
@@ -6,7 +6,7 @@
 	return status;
 };
 
-test('a draining host leaves the host list, completes its streams and exits with status 0', async () => {
+test('a draining host is no longer listed for callers, completes its streams and exits with status 0', async () => {
 	const fleet = await startFleet(2);
 	const [leaving, staying] = fleet.hosts;
 	const callers = `http://${leaving?.settings.callerAddress}`;
