--- a/packages/router/src/callers/admission.ts
+++ b/packages/router/src/callers/admission.ts
@@ -7,16 +7,16 @@
 import type {
 	ClassifiedRequest, Configuration, Customer, Work,
 } from '@gentianlift/types';
-import type {HostParts} from '../parts.js';
+import type {HostContext} from '../host-context.js';
 import type {Exchange} from './exchange.js';
 import {getApiKey, getDeclaredClass, getIdempotencyKey} from './read-headers.js';
 
-/** A caller whose key is known, and the configuration that its request is judged by. */
+/** Authenticated customer, and the configuration that applies to its request. */
 export type Caller = {customer: Customer; configuration: Configuration};
 
-/** Finds the caller's customer; throws `not-configured`, `missing-key` or `wrong-key`. */
-export const authenticate = (parts: HostParts, request: IncomingMessage): Caller => {
-	const version = parts.getConfiguration();
+/** Returns the customer that the API key belongs to; throws `not-configured`, `missing-key` or `wrong-key`. */
+export const authenticate = (context: HostContext, request: IncomingMessage): Caller => {
+	const version = context.getConfiguration();
 	if (version === undefined) {
 		throw createFailure('not-configured');
 	}
@@ -29,35 +29,35 @@
 	return {customer, configuration: version.configuration};
 };
 
-/** What a request brings to its classification. */
-export type Arrival = {
+/** Properties of a request that its classification is based on. */
+export type IncomingRequest = {
 	method: string;
-	/** Path that the rules match: of a call, the path at the service. */
+	/** Path that the rules are matched against; for a service call, the path at the service. */
 	path: string;
 	body: Uint8Array;
-	/** Text by which resends under other ids are recognised. */
+	/** Text from which the fingerprint is computed, which recognises repeated requests that have other ids. */
 	prompt: string;
 	work: Work;
 };
 
-const getName = (work: Work): string => work.kind === 'generation' ? work.model : work.service;
+const getTargetName = (work: Work): string => work.kind === 'generation' ? work.model : work.service;
 
-const getDigest = ({method, path, body, work}: Arrival): string =>
-	createHash('sha256').update(`${getName(work)} ${method} ${path}\n`).update(body).digest('hex');
+const getDigest = ({method, path, body, work}: IncomingRequest): string =>
+	createHash('sha256').update(`${getTargetName(work)} ${method} ${path}\n`).update(body).digest('hex');
 
-/** Classifies a request, opens its account and notes both in the exchange; throws the refusal's error kind. */
-export const admitRequest = (parts: HostParts, {customer, configuration}: Caller, exchange: Exchange, arrival: Arrival): ClassifiedRequest => {
+/** Classifies a request, opens its account and stores its id and classification in the exchange; throws the failure of a refused request. */
+export const admitRequest = (context: HostContext, {customer, configuration}: Caller, exchange: Exchange, incoming: IncomingRequest): ClassifiedRequest => {
 	const declaredClass = getDeclaredClass(exchange.request);
 	const idempotencyKey = getIdempotencyKey(exchange.request);
 	const classification = classifyRequest(configuration, {
 		id: exchange.id,
 		customer,
-		arrivedAt: parts.clock.now(),
-		method: arrival.method,
-		path: arrival.path,
-		work: arrival.work,
-		digest: getDigest(arrival),
-		fingerprint: getFingerprint(getName(arrival.work), arrival.prompt),
+		arrivedAt: context.clock.now(),
+		method: incoming.method,
+		path: incoming.path,
+		work: incoming.work,
+		digest: getDigest(incoming),
+		fingerprint: getFingerprint(getTargetName(incoming.work), incoming.prompt),
 		...(declaredClass !== undefined && {declaredClass}),
 		...(idempotencyKey !== undefined && {idempotencyKey}),
 	});
@@ -66,22 +66,22 @@
 	}
 
 	const {request} = classification;
-	const isBooking = !request.idempotent && request.idempotencyKey !== undefined;
-	const named = isBooking ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
-	exchange.id = named.id;
-	exchange.classified = named;
-	parts.accounts.open(named);
-	return named;
+	const needsClaim = !request.idempotent && request.idempotencyKey !== undefined;
+	const identified = needsClaim ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
+	exchange.id = identified.id;
+	exchange.classified = identified;
+	context.accounts.open(identified);
+	return identified;
 };
 
-/** Takes the customer's limits and the host's own into account; throws the refusal's error kind. */
-export const takeLimits = async (parts: HostParts, customer: Customer, request: ClassifiedRequest): Promise<(tokens: number) => void> => {
-	const rankLimit = parts.getRankLimit();
+/** Checks the host's overload limit and acquires the customer's limits; throws the failure of a refused request. Call the returned function with the tokens used when the request ends. */
+export const acquireLimits = async (context: HostContext, customer: Customer, request: ClassifiedRequest): Promise<(tokens: number) => void> => {
+	const rankLimit = context.getRankLimit();
 	if (rankLimit !== undefined && request.rank > rankLimit) {
 		throw createFailure('host-overloaded', {retryAfter: 1000});
 	}
 
-	const decision = await parts.limits.take(customer, request);
+	const decision = await context.limits.acquire(customer, request);
 	if (decision.kind === 'refused') {
 		throw createFailure(decision.error, {retryAfter: decision.retryAfter});
 	}
--- a/packages/router/src/callers/caller-server.ts
+++ b/packages/router/src/callers/caller-server.ts
@@ -8,24 +8,25 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {Settings} from '@gentianlift/types';
 
-/** Answers one request of a caller. */
+/** Handles one request of a caller. */
 export type CallerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-const checkInterval = 1000;
+/** Interval at which the server checks connections for its timeouts. */
+const timeoutCheckMilliseconds = 1000;
 
-const kindsByCode: Record<string, ErrorKind> = {
+const errorKindsByCode: Record<string, ErrorKind> = {
 	HPE_HEADER_OVERFLOW: 'headers-too-large',
 	ERR_HTTP_REQUEST_TIMEOUT: 'body-timeout',
 };
 
-/** Answers on the bare connection, since a request that can't be parsed has no response object. */
+/** Writes the error response to the socket, because a request that can't be parsed has no response object. */
 const answerParserError = (error: NodeJS.ErrnoException, socket: Duplex, metrics: Metrics): void => {
 	if (error.code === 'ECONNRESET' || !socket.writable) {
 		socket.destroy();
 		return;
 	}
 
-	const kind = kindsByCode[error.code ?? ''] ?? 'bad-request';
+	const kind = errorKindsByCode[error.code ?? ''] ?? 'bad-request';
 	metrics.count('refusals_total', {reason: kind});
 	const body = JSON.stringify(getErrorBody(createFailure(kind), ''));
 	socket.end([
@@ -40,14 +41,14 @@
 	].join('\r\n'));
 };
 
-/** Creates the HTTP server for callers, with the limits of the settings; it isn't listening yet. */
+/** Creates the HTTP server for callers with the limits of the settings. It isn't listening yet. */
 export const createCallerServer = (settings: Settings, metrics: Metrics, handle: CallerHandler): Server => {
 	const {callerLimits} = settings;
 	const server = createServer({
 		maxHeaderSize: callerLimits.headerBytes,
 		headersTimeout: callerLimits.headerTimeout,
 		requestTimeout: callerLimits.headerTimeout + callerLimits.bodyTimeout,
-		connectionsCheckingInterval: checkInterval,
+		connectionsCheckingInterval: timeoutCheckMilliseconds,
 		keepAlive: true,
 		noDelay: true,
 	}, handle);
--- a/packages/router/src/callers/caller-stream.ts
+++ b/packages/router/src/callers/caller-stream.ts
@@ -2,77 +2,77 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Where the bytes of an answer go. */
-export type AnswerWriter = {
-	/** Takes bytes; false if no more may follow before `drained`. */
+/** Destination of the body of a response. */
+export type ResponseWriter = {
+	/** Writes bytes; returns false if no more may be written before `waitUntilWritable` resolves. */
 	write: (bytes: Uint8Array) => boolean;
-	/** Waits until more may follow; false if the reader has gone. */
-	drained: () => Promise<boolean>;
+	/** Waits until more may be written; resolves to false if the recipient has disconnected. */
+	waitUntilWritable: () => Promise<boolean>;
 };
 
-/** The caller's side of an answer under way. */
-export type CallerStream = AnswerWriter & {
-	/** Sends the head of the answer, once. */
+/** Response stream to a caller. */
+export type CallerStream = ResponseWriter & {
+	/** Sends the status and headers; has no effect after the first time. */
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 	end: () => void;
 	hasBegun: () => boolean;
-	/** Aborted when the caller has gone, or has read nothing for too long. */
-	gone: AbortSignal;
+	/** Aborted when the caller has disconnected, or has read nothing for the idle timeout. */
+	callerDisconnected: AbortSignal;
 };
 
-/** What the caller's side takes. */
+/** Options of a response stream. */
 export type CallerStreamOptions = {
 	clock: Clock;
-	/** Time after which a caller that reads nothing is taken as gone. */
-	silence: Milliseconds;
-	/** Aborted when an operator cuts all open requests; the stream counts as gone then. */
-	cut: AbortSignal;
+	/** Time after which a caller that reads nothing is disconnected. */
+	idleTimeout: Milliseconds;
+	/** Aborted when an operator aborts all requests in flight; the caller then counts as disconnected. */
+	abortSignal: AbortSignal;
 };
 
-/** Creates the caller's side of an answer. */
-export const createCallerStream = (response: ServerResponse, {clock, silence, cut}: CallerStreamOptions): CallerStream => {
-	const gone = new AbortController();
-	const onCut = (): void => {
-		gone.abort();
+/** Creates the response stream to a caller. */
+export const createCallerStream = (response: ServerResponse, {clock, idleTimeout, abortSignal}: CallerStreamOptions): CallerStream => {
+	const disconnection = new AbortController();
+	const onAbort = (): void => {
+		disconnection.abort();
 	};
 
-	cut.addEventListener('abort', onCut, {once: true});
+	abortSignal.addEventListener('abort', onAbort, {once: true});
 	response.once('close', () => {
-		cut.removeEventListener('abort', onCut);
+		abortSignal.removeEventListener('abort', onAbort);
 		if (!response.writableFinished) {
-			gone.abort();
+			disconnection.abort();
 		}
 	});
 
-	const waitForDrain = async (): Promise<boolean> => new Promise(resolve => {
-		const finish = (isReading: boolean): void => {
+	const waitForDrainEvent = async (): Promise<boolean> => new Promise(resolve => {
+		const finish = (isWritable: boolean): void => {
 			cancel();
 			response.off('drain', onDrain);
-			gone.signal.removeEventListener('abort', onGone);
-			resolve(isReading);
+			disconnection.signal.removeEventListener('abort', onDisconnect);
+			resolve(isWritable);
 		};
 
 		const onDrain = (): void => {
 			finish(true);
 		};
 
-		const onGone = (): void => {
+		const onDisconnect = (): void => {
 			finish(false);
 		};
 
-		const cancel = clock.after(silence, () => {
+		const cancel = clock.after(idleTimeout, () => {
 			response.destroy();
-			gone.abort();
+			disconnection.abort();
 		});
 		response.once('drain', onDrain);
-		gone.signal.addEventListener('abort', onGone);
+		disconnection.signal.addEventListener('abort', onDisconnect);
 	});
 
 	return {
-		gone: gone.signal,
+		callerDisconnected: disconnection.signal,
 		hasBegun: () => response.headersSent,
 		begin(status, headers) {
-			if (!response.headersSent && !gone.signal.aborted) {
+			if (!response.headersSent && !disconnection.signal.aborted) {
 				response.statusCode = status;
 				for (const [name, value] of Object.entries(headers)) {
 					if (value !== undefined) {
@@ -83,8 +83,8 @@
 				response.flushHeaders();
 			}
 		},
-		write: bytes => !gone.signal.aborted && response.write(bytes),
-		drained: async () => gone.signal.aborted ? false : waitForDrain(),
+		write: bytes => !disconnection.signal.aborted && response.write(bytes),
+		waitUntilWritable: async () => disconnection.signal.aborted ? false : waitForDrainEvent(),
 		end() {
 			response.end();
 		},
--- a/packages/router/src/dispatch/attempt-end.ts
+++ b/packages/router/src/dispatch/failed-attempt.ts
@@ -4,15 +4,17 @@
 	Address, AttemptOutcome, Milliseconds, RunState, UpstreamSighting,
 } from '@gentianlift/types';
 
-/** An attempt that gave no whole answer, in the words of accounts, errors and sightings. */
-export type LostAttempt = {
+/** Attempt that ended without a complete answer, described for the account, the caller's error and the health record of the upstream. */
+export type FailedAttempt = {
 	kind: 'lost';
 	error: ErrorKind;
 	outcome: AttemptOutcome;
+	/** What the failure says about the health of the upstream; undefined if nothing. */
 	sighting: UpstreamSighting['kind'] | undefined;
+	/** Whether the upstream executed the request, as far as the router can tell. */
 	ran: RunState;
 	retryAfter?: Milliseconds;
-	/** What the upstream says to the caller of a request that it rejects; another upstream would say the same. */
+	/** Upstream's message for a request that it rejected; there is no retry, since any other upstream would reject it too. */
 	rejection?: string;
 };
 
@@ -38,7 +40,7 @@
 	}
 };
 
-const errorKindOf = {
+const errorKinds = {
 	refused: 'upstream-refused',
 	unreachable: 'upstream-unreachable',
 	reset: 'upstream-reset',
@@ -47,21 +49,21 @@
 	cancelled: 'outcome-unknown',
 } as const satisfies Record<CallFailure['kind'], ErrorKind>;
 
-const longestRejection = 500;
-/** Statuses that tell of the upstream's state and not of the request. */
-const passingStatuses = new Set([408, 425, 429]);
+const maxRejectionCharacters = 500;
+/** Client error statuses that are caused by the state of the upstream and not by the request. */
+const transientStatuses = new Set([408, 425, 429]);
 
 const getRejection = (failure: CallFailure): string | undefined => {
-	const isRejection = failure.kind === 'failed' && failure.status >= 400 && failure.status < 500 && !passingStatuses.has(failure.status);
-	return isRejection ? failure.text.slice(0, longestRejection) : undefined;
+	const isRejection = failure.kind === 'failed' && failure.status >= 400 && failure.status < 500 && !transientStatuses.has(failure.status);
+	return isRejection ? failure.text.slice(0, maxRejectionCharacters) : undefined;
 };
 
-/** Gets the end of an attempt whose call failed before its answer started. */
-export const getLostAttempt = (failure: CallFailure): LostAttempt => {
+/** Returns the description of an attempt whose call failed. */
+export const getFailedAttempt = (failure: CallFailure): FailedAttempt => {
 	const rejection = getRejection(failure);
 	return {
 		kind: 'lost',
-		error: rejection === undefined ? errorKindOf[failure.kind] : 'upstream-rejected',
+		error: rejection === undefined ? errorKinds[failure.kind] : 'upstream-rejected',
 		outcome: failure.kind,
 		sighting: getSighting(failure),
 		ran: getRunState(failure),
@@ -70,12 +72,12 @@
 	};
 };
 
-/** Tells a crash from a lost connection: after a reset, an upstream that crashed refuses new connections. */
-export const probeLoss = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, lost: LostAttempt): Promise<LostAttempt> => {
-	if (lost.sighting !== 'reset') {
-		return lost;
+/** Tells a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
+export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: FailedAttempt): Promise<FailedAttempt> => {
+	if (failure.sighting !== 'reset') {
+		return failure;
 	}
 
 	const health = await upstreams.checkHealth(address);
-	return health === 'unreachable' ? {...lost, sighting: 'crashed'} : lost;
+	return health === 'unreachable' ? {...failure, sighting: 'crashed'} : failure;
 };
--- a/packages/router/src/parts.ts
+++ b/packages/router/src/host-context.ts
@@ -7,12 +7,12 @@
 	Account, ConfigurationVersion, CustomerId, HostAnswer, Incarnation, Rank, RequestId, Settings, UpstreamSighting, Zone,
 } from '@gentianlift/types';
 import type {UpstreamClient} from '@gentianlift/upstream';
-import type {Directory} from './directory.js';
+import type {UpstreamDirectory} from './upstream-directory.js';
 import type {Limits} from './limits.js';
-import type {OpenRequests} from './open-requests.js';
+import type {InFlightRequests} from './in-flight-requests.js';
 
-/** What handling a caller's request takes. */
-export type HostParts = {
+/** Dependencies of the code that handles callers' requests. */
+export type HostContext = {
 	settings: Settings;
 	incarnation: Incarnation;
 	clock: Clock;
@@ -20,18 +20,18 @@
 	logger: Logger;
 	metrics: Metrics;
 	createRequestId: () => RequestId;
-	/** Configuration in force; undefined until the host has one. */
+	/** Returns the current configuration; undefined while the host has none, or is cut off from the key-value service and all other hosts. */
 	getConfiguration: () => ConfigurationVersion | undefined;
-	getDirectory: () => Directory;
+	getDirectory: () => UpstreamDirectory;
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
-	/** Account of a request from this host, another host, or its claim. */
+	/** Reads the account of a request from this host, another host or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
 	recordSighting: (sighting: UpstreamSighting) => void;
-	/** Lowest rank that the host takes while it is overloaded; undefined for all. */
+	/** Returns the rank of the lowest tier that the host admits while it is overloaded; undefined if it admits all. */
 	getRankLimit: () => Rank | undefined;
-	/** Whether callers are asked to go elsewhere with their next request. */
+	/** Whether the host closes callers' connections after each response, so that their next request goes to another host. */
 	isDraining: () => boolean;
-	open: OpenRequests;
+	inFlightRequests: InFlightRequests;
 	grants: GrantClient;
 	limits: Limits;
 	claims: ClaimClient;
--- a/packages/router/src/host/account-reader.ts
+++ b/packages/router/src/host/account-reader.ts
@@ -5,7 +5,7 @@
 import {getRequestOrigin} from '../request-ids.js';
 import type {Fleet} from './fleet.js';
 
-/** What reading accounts takes. */
+/** Dependencies of an account reader. */
 export type AccountReaderOptions = {
 	self: HostId;
 	accounts: Accounts;
@@ -15,10 +15,10 @@
 	now: () => number;
 };
 
-/** Reads the account of a request from this host, the host that gave its id, or the claim of a booking. */
+/** Reads the account of a request from this host, from the host that issued its id, or from the claim of a non-idempotent request. */
 export type AccountReader = (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
 
-const getLostAccount = (id: RequestId, customer: CustomerId, at: number): Account => ({
+const createUnknownAccount = (id: RequestId, customer: CustomerId, at: number): Account => ({
 	id,
 	customer,
 	className: '',
@@ -27,23 +27,23 @@
 	attempts: [],
 });
 
-/** Creates the reader of accounts. For a plain question whose host is gone it says `unknown`, as nothing of it is kept elsewhere. */
+/** Creates an account reader. For an idempotent request whose host is gone it returns a run state of `unknown`, because its account is stored on that host only. */
 export const createAccountReader = ({
 	self, accounts, claims, peers, fleet, now,
 }: AccountReaderOptions): AccountReader => async (id, customer) => {
-	const own = accounts.getAccount(id);
+	const localAccount = accounts.getAccount(id);
 	const origin = getRequestOrigin(id);
-	if (own !== undefined || origin === undefined) {
-		return own;
+	if (localAccount !== undefined || origin === undefined) {
+		return localAccount;
 	}
 
-	if (origin.host !== self && !fleet.isGone(origin.host, origin.incarnation)) {
+	if (origin.host !== self && !fleet.hasEnded(origin.host, origin.incarnation)) {
 		const outcome = await peers.readAccount(origin.host, {request: id});
 		if (outcome.kind === 'answered' && outcome.answer.account !== undefined) {
 			return outcome.answer.account;
 		}
 	}
 
-	const read = await claims.readClaimOfRequest(id);
-	return read.kind === 'found' ? getClaimAccount(read.claim, fleet.isGone) : getLostAccount(id, customer, now());
+	const claimResult = await claims.readClaimOfRequest(id);
+	return claimResult.kind === 'found' ? getClaimAccount(claimResult.claim, fleet.hasEnded) : createUnknownAccount(id, customer, now());
 };
--- a/packages/router/src/host/fleet.ts
+++ b/packages/router/src/host/fleet.ts
@@ -6,65 +6,65 @@
 } from '@gentianlift/types';
 import type {Random} from '@gentianlift/clock';
 
-/** The hosts as the rest of the process asks for them. */
+/** View of the hosts of the fleet, derived from the membership. */
 export type Fleet = {
 	getMembers: () => readonly Member[];
-	/** Hosts that may own keys. */
+	/** Returns the hosts that may own keys. */
 	getHosts: () => ReadonlyArray<{host: HostId; zone: Zone}>;
 	getMember: (host: HostId) => Member | undefined;
 	getOwnerOf: (key: string) => HostId | undefined;
 	getOwners: (key: string, count: number) => readonly HostId[];
 	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
-	/** Whether a run of a host is known to have ended. */
-	isGone: (host: HostId, incarnation: Incarnation) => boolean;
+	/** Whether the given incarnation of a host is known to have ended. */
+	hasEnded: (host: HostId, incarnation: Incarnation) => boolean;
 };
 
-/** Creates the questions on top of a list of members. The owners are kept until the list changes. */
-export const createFleet = (getList: () => Member[], timeToLive: Milliseconds, random: Random): Fleet => {
+/** Creates the view of a list of members. Owners of keys are cached until the eligible hosts change. */
+export const createFleet = (readMembers: () => Member[], timeToLive: Milliseconds, random: Random): Fleet => {
 	let members: Member[] | undefined;
-	let eligible: HostId[] = [];
-	const owners = new Map<string, HostId | undefined>();
+	let eligibleHosts: HostId[] = [];
+	const ownerByKey = new Map<string, HostId | undefined>();
 
 	const refresh = (): void => {
-		const list = getList();
-		if (list === members) {
+		const currentMembers = readMembers();
+		if (currentMembers === members) {
 			return;
 		}
 
-		members = list;
-		const next = getEligibleHosts(list);
-		if (next.join(' ') !== eligible.join(' ')) {
-			eligible = next;
-			owners.clear();
+		members = currentMembers;
+		const nextHosts = getEligibleHosts(currentMembers);
+		if (nextHosts.join(' ') !== eligibleHosts.join(' ')) {
+			eligibleHosts = nextHosts;
+			ownerByKey.clear();
 		}
 	};
 
 	const getOwnerOf = (key: string): HostId | undefined => {
 		refresh();
-		if (!owners.has(key)) {
-			owners.set(key, getOwner(key, eligible));
+		if (!ownerByKey.has(key)) {
+			ownerByKey.set(key, getOwner(key, eligibleHosts));
 		}
 
-		return owners.get(key);
+		return ownerByKey.get(key);
 	};
 
-	const getMember = (host: HostId): Member | undefined => getList().find(member => member.host === host);
+	const getMember = (host: HostId): Member | undefined => readMembers().find(member => member.host === host);
 
 	return {
-		getMembers: getList,
+		getMembers: readMembers,
 		getMember,
 		getOwnerOf,
 		getHosts() {
 			refresh();
-			const known = new Set(eligible);
-			return getList().filter(({host}) => known.has(host));
+			const eligible = new Set(eligibleHosts);
+			return readMembers().filter(({host}) => eligible.has(host));
 		},
 		getOwners(key, count) {
 			refresh();
-			return getOwners(key, eligible, count);
+			return getOwners(key, eligibleHosts, count);
 		},
-		getHostAnswer: zone => getHostAnswer(getList(), zone, timeToLive, random),
-		isGone(host, incarnation) {
+		getHostAnswer: zone => getHostAnswer(readMembers(), zone, timeToLive, random),
+		hasEnded(host, incarnation) {
 			const member = getMember(host);
 			return member !== undefined && (member.incarnation > incarnation || (member.incarnation === incarnation && member.state === 'gone'));
 		},
--- a/packages/router/src/host/network.ts
+++ b/packages/router/src/host/network.ts
@@ -2,14 +2,14 @@
 import {createConfigurationFollower} from '@gentianlift/distribution';
 import {createMembership, createUdpTransport} from '@gentianlift/membership';
 import {createPeerCalls} from '@gentianlift/peers';
-import type {Base} from './base.js';
+import type {Infrastructure} from './infrastructure.js';
 import {createFleet} from './fleet.js';
 
-/** Creates what a host shares with the others: membership, calls, and the configuration that they pass on. */
-export const createNetwork = (base: Base) => {
+/** Creates the components that communicate with other hosts: membership, peer calls and the distribution of the configuration. */
+export const createNetwork = (infrastructure: Infrastructure) => {
 	const {
 		settings, incarnation, clock, random, metrics, keyValue,
-	} = base;
+	} = infrastructure;
 	const {
 		host, zone, callerAddress, peerAddress, gossipAddress,
 	} = settings;
@@ -23,7 +23,7 @@
 		seeds: settings.seeds,
 		keys: settings.peerKeys,
 		transport: createUdpTransport(gossipAddress),
-		hostList: base.hostList,
+		hostList: infrastructure.hostList,
 	});
 	const fleet = createFleet(membership.getMembers, settings.addressTimeToLive, random);
 	const peers = createPeerCalls({
@@ -51,5 +51,5 @@
 	};
 };
 
-/** Parts that a host shares with the others. */
+/** Components that communicate with other hosts. */
 export type Network = ReturnType<typeof createNetwork>;
--- /dev/null
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -0,0 +1,61 @@
+import type {Cancel, Clock} from '@gentianlift/clock';
+import type {Membership} from '@gentianlift/membership';
+import type {Suspect} from '@gentianlift/policy';
+import type {GroupOwner} from '@gentianlift/scheduler';
+import type {HostId, Milliseconds, Note} from '@gentianlift/types';
+
+/** Dependencies of the exchange of suspects. */
+export type SuspectGossipOptions = {
+	clock: Clock;
+	self: HostId;
+	membership: Pick<Membership, 'onNote' | 'publishNote'>;
+	groupOwner: Pick<GroupOwner, 'applySuspects' | 'getSuspects'>;
+};
+
+const publishInterval: Milliseconds = 500;
+const crashSeparator = ',';
+
+const getSuspect = ({key, value, duration}: Note, now: Milliseconds): Suspect =>
+	({fingerprint: key, crashes: value.split(crashSeparator), expiresAt: now + duration});
+
+/**
+Publishes requests that are suspected of crashing upstreams to all hosts, so that the next owner of a group knows them.
+
+A cleared suspect isn't withdrawn: on other hosts it stays a suspect until it expires. There it runs once more with no other suspect beside it, and is cleared again.
+*/
+export const startSuspectGossip = ({clock, self, membership, groupOwner}: SuspectGossipOptions): Cancel => {
+	const {every} = clock;
+	const knownCrashCounts = new Map<string, number>();
+
+	const publish = ({fingerprint, crashes, expiresAt}: Suspect): void => {
+		knownCrashCounts.set(fingerprint, crashes.length);
+		membership.publishNote({
+			topic: 'suspect-request', key: fingerprint, value: crashes.join(crashSeparator), duration: expiresAt - clock.now(),
+		});
+	};
+
+	const cancelTimer = every(publishInterval, () => {
+		const suspects = groupOwner.getSuspects();
+		for (const suspect of suspects.values()) {
+			if (suspect.crashes.length > (knownCrashCounts.get(suspect.fingerprint) ?? 0) && suspect.expiresAt > clock.now()) {
+				publish(suspect);
+			}
+		}
+
+		for (const fingerprint of knownCrashCounts.keys()) {
+			if (!suspects.has(fingerprint)) {
+				knownCrashCounts.delete(fingerprint);
+			}
+		}
+	});
+	const cancelListener = membership.onNote(note => {
+		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
+			knownCrashCounts.set(note.key, note.value.split(crashSeparator).length);
+			groupOwner.applySuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
+		}
+	});
+	return () => {
+		cancelTimer();
+		cancelListener();
+	};
+};
--- a/packages/router/src/limits.ts
+++ b/packages/router/src/limits.ts
@@ -6,27 +6,27 @@
 	ClassifiedRequest, Configuration, Customer, Milliseconds,
 } from '@gentianlift/types';
 
-/** Answer of the limits to a request. */
+/** Decision on a request by its customer's limits. */
 export type LimitDecision
 	= | {kind: 'taken'; release: (tokens: number) => void}
 		| {kind: 'refused'; error: Extract<ErrorKind, 'customer-rate' | 'customer-tokens' | 'customer-concurrency'>; retryAfter: Milliseconds};
 
-/** Limits that hold over all hosts. */
+/** Limits of customers, shared by all hosts, and retry budgets of classes. */
 export type Limits = {
-	/** Takes a request into account; `release` tells its end and the tokens that it used. */
-	take: (customer: Customer, request: ClassifiedRequest) => Promise<LimitDecision>;
-	/** Takes one retry of a class's budget; false if none is left. */
-	takeRetry: (request: ClassifiedRequest) => boolean;
+	/** Acquires the limits for a request; `release` records its end and the tokens that it used. */
+	acquire: (customer: Customer, request: ClassifiedRequest) => Promise<LimitDecision>;
+	/** Acquires one retry from the budget of the request's class; false if the budget is exhausted. */
+	acquireRetry: (request: ClassifiedRequest) => boolean;
 };
 
-/** What the limits are made of. */
+/** Dependencies of the limits. */
 export type LimitsOptions = {
 	quota: QuotaClient;
 	budgets: RetryBudgets;
 	getConfiguration: () => Configuration | undefined;
 };
 
-const getError = (limit: string): Extract<LimitDecision, {kind: 'refused'}>['error'] => {
+const getErrorKind = (limit: string): Extract<LimitDecision, {kind: 'refused'}>['error'] => {
 	if (limit.startsWith('tokens:')) {
 		return 'customer-tokens';
 	}
@@ -34,9 +34,9 @@
 	return limit.startsWith('requests:') ? 'customer-rate' : 'customer-concurrency';
 };
 
-/** Creates the limits of customers and the retry budgets of classes. Tokens are counted when they are known, so a customer may overrun its rate by the answers under way. */
+/** Creates the limits of customers and the retry budgets of classes. Tokens are counted when a request ends, so a customer may exceed its token rate by the responses in flight. */
 export const createLimits = ({quota, budgets, getConfiguration}: LimitsOptions): Limits => ({
-	async take(customer, request) {
+	async acquire(customer, request) {
 		const requests = getRequestLimit(customer.id);
 		const concurrency = getConcurrencyLimit(customer.id);
 		const tokens = getTokenLimit(customer.id);
@@ -46,18 +46,18 @@
 			{limit: tokens, amount: 0},
 		]);
 		if (decision.kind === 'refused') {
-			return {kind: 'refused', error: getError(decision.limit), retryAfter: decision.retryAfter};
+			return {kind: 'refused', error: getErrorKind(decision.limit), retryAfter: decision.retryAfter};
 		}
 
-		const found = getConfiguration()?.rules.classes.find(({name}) => name === request.className);
-		budgets.applyRequest(request.className, found?.retryShare ?? 0);
+		const requestClass = getConfiguration()?.rules.classes.find(({name}) => name === request.className);
+		budgets.applyRequest(request.className, requestClass?.retryShare ?? 0);
 		return {
 			kind: 'taken',
-			release(used) {
+			release(usedTokens) {
 				quota.release(concurrency, 1);
-				quota.use(tokens, used);
+				quota.use(tokens, usedTokens);
 			},
 		};
 	},
-	takeRetry: ({className}) => budgets.takeRetry(className),
+	acquireRetry: ({className}) => budgets.takeRetry(className),
 });
--- a/packages/router/src/testing/start-fleet.ts
+++ b/packages/router/src/testing/start-fleet.ts
@@ -6,21 +6,21 @@
 import type {Configuration, Settings} from '@gentianlift/types';
 import {startHost, type RunningHost} from '../host/start-host.js';
 
-/** A host in this process, for tests. */
+/** Host that runs in the process of the test. */
 export type TestHost = RunningHost & {
 	settings: Settings;
 	/** Resolves with the exit status once the host has ended. */
 	ended: Promise<number>;
 };
 
-/** Stand-ins and hosts in this process, for tests. */
+/** Fake platform services, fake upstreams and hosts that run in the process of the test. */
 export type TestFleet = {
-	standins: Standins;
+	fakes: Standins;
 	configuration: Configuration;
 	hosts: TestHost[];
-	/** Key of a customer that may use all classes of the Kopi example. */
+	/** API key of a customer that may use all classes of the Kopi example. */
 	key: string;
-	/** Key of another customer. */
+	/** API key of another customer. */
 	otherKey: string;
 	close: () => Promise<void>;
 };
@@ -35,32 +35,32 @@
 };
 
 const start = async (settings: Settings): Promise<TestHost> => {
-	const exits: Array<(status: number) => void> = [];
+	const exitListeners: Array<(status: number) => void> = [];
 	const ended = new Promise<number>(resolve => {
-		exits.push(resolve);
+		exitListeners.push(resolve);
 	});
 	const host = await startHost(settings, status => {
-		exits[0]?.(status);
+		exitListeners[0]?.(status);
 	});
 	return {...host, settings, ended};
 };
 
-/** Starts the Kopi example with some hosts; `extra` settings are shared by all. */
+/** Starts the Kopi example with `count` hosts; the `extra` settings apply to each of them. */
 export const startFleet = async (count: number, extra: Partial<Settings> = {}): Promise<TestFleet> => {
 	const {configuration: example, keys} = await readExample('kopi');
-	const standins = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
-	const configuration = getStandinConfiguration(example, standins.addresses);
-	publishConfiguration(standins.keyValue, configuration, createSystemClock().now());
-	const documents = getFleetSettings({
+	const fakes = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
+	const configuration = getStandinConfiguration(example, fakes.addresses);
+	publishConfiguration(fakes.keyValue, configuration, createSystemClock().now());
+	const settingsDocuments = getFleetSettings({
 		zones: ['attica-a', 'attica-b', 'attica-c'],
-		keyValueUrl: standins.keyValue.listener.url,
-		hostListUrl: standins.hostList.listener.url,
-		weightStoreUrl: standins.weightStore.listener.url,
+		keyValueUrl: fakes.keyValue.listener.url,
+		hostListUrl: fakes.hostList.listener.url,
+		weightStoreUrl: fakes.weightStore.listener.url,
 		ports: await findPorts(countPorts(count)),
 	}, {addressTimeToLive: 100, logLevel: 'error', ...extra});
-	const hosts = await Promise.all(documents.map(async document => start(parse(document))));
+	const hosts = await Promise.all(settingsDocuments.map(async document => start(parse(document))));
 	return {
-		standins,
+		fakes,
 		configuration,
 		hosts,
 		key: keys.get('faros-steel') ?? '',
@@ -70,7 +70,7 @@
 				await fetch(`http://${settings.operatorAddress}/operator/drain`, {method: 'POST', body: '{"force":true}'}).catch(() => undefined);
 				await ended;
 			}));
-			await standins.close();
+			await fakes.close();
 		},
 	};
 };
