--- a/packages/bench/src/slopes/roles.ts
+++ b/packages/bench/src/slopes/roles.ts
@@ -5,7 +5,7 @@
 import {compactCodec} from '@gentianlift/peers';
 import {getGroups} from '@gentianlift/policy';
 import {
-	createGrantClient, createGroupOwner, createQuotaClient, createQuotaOwner, getLimits, getRequestLimit,
+	createGrantClient, createGroupOwner, createQuotaClient, createQuotaOwner, getLimits, getRequestLimitName,
 } from '@gentianlift/scheduler';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 import {measure, type Cost} from './measure.js';
@@ -44,7 +44,7 @@
 	};
 	const owner = createGroupOwner({
 		...shared, self: 'owner', push(_host, answer) {
-			client.receive(counter.pass(answer));
+			client.applyDecisions(counter.pass(answer));
 		},
 	});
 	const client = createGrantClient({
@@ -66,9 +66,9 @@
 		for (let index = 0; index < requests; index++) {
 			const request = getRequest(index, clock.now());
 			// eslint-disable-next-line no-await-in-loop -- One request follows another.
-			const grant = await client.ask(request);
+			const grant = await client.requestGrant(request);
 			if (grant.kind === 'granted') {
-				client.end({
+				client.reportEnd({
 					request: request.id, attempt: 1, kind: 'finished', tokens: 380, firstTokenAfter: 100, duration: 20_000,
 				});
 			}
@@ -84,7 +84,7 @@
 	const {owner, client, counter} = createPair(getConfiguration({engines: 1, models: 1, customers: 100}));
 	const cost = await measure(async () => {
 		for (let index = 0; index < waiting; index++) {
-			void client.ask(getRequest(index, clock.now() + 3_600_000));
+			void client.requestGrant(getRequest(index, clock.now() + 3_600_000));
 		}
 
 		await clock.sleep(500);
@@ -110,7 +110,7 @@
 		peers: {exchangeQuota: async (_to, message) => ({kind: 'answered', answer: counter.pass(owner.handle('asker', counter.pass(message)))})},
 	});
 	const cost = await measure(async () => {
-		await Promise.all(Array.from({length: customers}, async (_, index) => client.acquire([{limit: getRequestLimit(`customer-${index}`), amount: 1}])));
+		await Promise.all(Array.from({length: customers}, async (_, index) => client.acquire([{limit: getRequestLimitName(`customer-${index}`), amount: 1}])));
 		return {owner, client};
 	});
 	client.stop();
--- a/packages/discovery/src/exchange-reports.ts
+++ b/packages/discovery/src/exchange-reports.ts
@@ -7,20 +7,20 @@
 import type {HostRecord} from './host-record.js';
 import {createHostStatusTracker, type HostStatus} from './host-status.js';
 import type {LoadReport, Prefill} from './load-report.js';
-import type {CausedLoad, LoadBook} from './load-tracker.js';
+import type {LoadContribution, LoadTracker} from './load-tracker.js';
 import type {ChangeBatch} from './packet.js';
 import {startReportBroadcaster} from './report-broadcast.js';
 
 /** Exchanges load reports with the other hosts. */
-export type NoteExchange = {
+export type LoadReportExchange = {
 	/** Adds a change to the load that this host causes, and schedules a report to the others. */
-	addLoad: (upstream: UpstreamKey, change: CausedLoad) => void;
+	addLoad: (upstream: UpstreamKey, change: LoadContribution) => void;
 	/** Reports that a prompt was sent to an upstream. */
-	addReading: (prefill: Prefill) => void;
+	addPrefill: (prefill: Prefill) => void;
 	/** Reports a crash of an upstream that a request may have caused. */
 	addCrash: (crash: Crash) => void;
 	/** Reports that a suspected request has run to completion. */
-	addCleared: (fingerprint: string) => void;
+	addClearedSuspect: (fingerprint: string) => void;
 	/** Reports at once that this host is shutting down. */
 	markStopping: () => void;
 	/** Returns the newest revision of the key-value service that recent reports name; 0 without a recent report. */
@@ -32,9 +32,9 @@
 	/** Returns whether a host has reported that it is shutting down. */
 	isStopping: (host: HostId) => boolean;
 	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
-	addChanges: (batch: ChangeBatch) => void;
+	sendChanges: (batch: ChangeBatch) => void;
 	/** Returns whether a relay currently sends this host the changes of the key-value service. */
-	isFed: () => boolean;
+	hasRelayFeed: () => boolean;
 	close: () => void;
 };
 
@@ -45,7 +45,7 @@
 	getOthers: () => HostRecord[];
 	clock: Clock;
 	logger: Logger;
-	loads: LoadBook;
+	loads: LoadTracker;
 	suspects: CrashSuspects;
 	getRevision: () => number;
 	/** Returns whether this host itself reaches the key-value service. */
@@ -76,7 +76,7 @@
 type PendingCrash = {crash: Crash; remainingReports: number};
 
 /** Starts to exchange load reports with the other hosts. */
-export const exchangeReports = (options: ReportExchangeOptions): NoteExchange => {
+export const exchangeReports = (options: ReportExchangeOptions): LoadReportExchange => {
 	const {
 		clock, logger, loads, suspects,
 	} = options;
@@ -190,16 +190,16 @@
 
 	return {
 		addLoad(upstream, change) {
-			loads.addOwn(upstream, change, clock.monotonic());
+			loads.addOwnLoad(upstream, change, clock.monotonic());
 			changedUpstreams.add(upstream);
 			remainingRepeats.set(upstream, loadRepeats);
 			schedule();
 		},
-		addReading(prefill) {
+		addPrefill(prefill) {
 			prefills.push(prefill);
 			schedule();
 		},
-		addCleared(fingerprint) {
+		addClearedSuspect(fingerprint) {
 			pendingCrashes = pendingCrashes.filter(({crash}) => crash.fingerprint !== fingerprint);
 			cleared.push(fingerprint);
 			schedule();
@@ -219,8 +219,8 @@
 		},
 		getSilence: id => clock.monotonic() - (statuses.get(id)?.reportedAt ?? Number.NEGATIVE_INFINITY),
 		isStopping: id => statuses.get(id)?.isStopping ?? false,
-		addChanges: broadcaster.sendChanges,
-		isFed: broadcaster.hasRelayFeed,
+		sendChanges: broadcaster.sendChanges,
+		hasRelayFeed: broadcaster.hasRelayFeed,
 		close() {
 			cancel();
 			broadcaster.close();
--- a/packages/discovery/src/fleet-view.test.ts
+++ b/packages/discovery/src/fleet-view.test.ts
@@ -2,18 +2,18 @@
 import {buildRouteTable} from '@gentianlift/routing';
 import type {Entry} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {createFleetView, type FleetItem} from './fleet-view.js';
+import {createFleetView, type DecodedEntry} from './fleet-view.js';
 import {getHostKey} from './host-record.js';
 
 /** Decodes the entries of these tests: `c:VERSION`, `u:STARTED:ready|leaving`; anything else is unreadable. */
-const decode = ({key, value}: Entry): FleetItem => {
+const decode = ({key, value}: Entry): DecodedEntry => {
 	const [kind, number = '', phase] = value.split(':');
 	if (kind === 'c') {
 		return {
 			kind: 'configuration',
 			configuration: {
 				version: Number(number), routes: [], services: [], limits: {
-					mostHeaderBytes: 1, mostBodyBytes: 1, headerTimeout: 1, idleTimeout: 1,
+					maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1,
 				},
 			},
 		};
--- a/packages/discovery/src/fleet-view.ts
+++ b/packages/discovery/src/fleet-view.ts
@@ -8,7 +8,7 @@
 import {hostPrefix, parseHostRecord, type HostRecord} from './host-record.js';
 
 /** Decoded content of an entry that the operators or an upstream have written. */
-export type FleetItem
+export type DecodedEntry
 	= | {kind: 'configuration'; configuration: RoutingConfiguration}
 		| {kind: 'upstream'; upstream: Upstream}
 		| {kind: 'unreadable'; reason: string}
@@ -45,7 +45,7 @@
 /** Options of a view. */
 export type FleetViewOptions = {
 	/** Decodes an entry that isn't a host record. */
-	decode: (entry: Entry) => FleetItem;
+	decode: (entry: Entry) => DecodedEntry;
 	logger: Logger;
 	/** Called with each incarnation of an upstream that is no longer listed. */
 	onRemoved?: (key: UpstreamKey) => void;
@@ -115,7 +115,7 @@
 		hosts.set(entry.key, record);
 	};
 
-	const applyItem = (key: string, item: FleetItem): void => {
+	const applyItem = (key: string, item: DecodedEntry): void => {
 		switch (item.kind) {
 			case 'configuration': {
 				applyConfiguration(item.configuration);
--- a/packages/discovery/src/join-fleet.ts
+++ b/packages/discovery/src/join-fleet.ts
@@ -4,13 +4,13 @@
 import type {
 	Address, ChangeFeed, Entry, HostId, KeyValueService, Zone,
 } from '@gentianlift/types';
-import {exchangeReports, type NoteExchange} from './exchange-reports.js';
-import {createFleetView, type FleetItem, type FleetView} from './fleet-view.js';
+import {exchangeReports, type LoadReportExchange} from './exchange-reports.js';
+import {createFleetView, type DecodedEntry, type FleetView} from './fleet-view.js';
 import {followFleet, type FleetFollower} from './follow-fleet.js';
 import {getAvailableHosts, selectHostsForCaller} from './host-list.js';
 import type {HostRecord} from './host-record.js';
 import type {Prefill} from './load-report.js';
-import type {LoadBook} from './load-tracker.js';
+import type {LoadTracker} from './load-tracker.js';
 import {createPeerViewClient} from './peer-views.js';
 import {registerHost, type HostRegistration} from './register-host.js';
 
@@ -20,13 +20,13 @@
 /** A host's membership in the fleet. */
 export type Fleet = {
 	view: FleetView;
-	notes: NoteExchange;
+	reportExchange: LoadReportExchange;
 	refresh: FleetFollower['refresh'];
 	registration: HostRegistration;
 	/** Returns the number of hosts that share limits, this one included. */
 	countHosts: () => number;
 	/** Returns the hosts to list for a caller in the availability zone. */
-	getOffered: (zone: Zone | undefined) => HostRecord[];
+	getHostsForCaller: (zone: Zone | undefined) => HostRecord[];
 };
 
 /** Options of joining the fleet. */
@@ -37,25 +37,25 @@
 	knownPeers: readonly Address[];
 	store: FleetStore;
 	/** Decodes an entry that the operators or an upstream have written. */
-	decode: (entry: Entry) => FleetItem;
+	decode: (entry: Entry) => DecodedEntry;
 	clock: Clock;
 	random: Random;
 	logger: Logger;
-	loads: LoadBook;
+	loads: LoadTracker;
 	suspects: CrashSuspects;
 	/** Whether this host is in a graceful shutdown. */
 	isStopping: () => boolean;
 	/** Called after the load of other hosts has changed. */
 	onLoad: () => void;
 	/** Called with each prompt that another host has sent to an upstream. */
-	onReading: (prefill: Prefill) => void;
+	onPrefill: (prefill: Prefill) => void;
 	/** Called with each incarnation of an upstream that is no longer listed. */
 	onRemoved: (key: UpstreamKey) => void;
 };
 
 type GetOtherHosts = () => HostRecord[];
 
-const startReportExchange = (options: FleetOptions, view: FleetView, getOthers: GetOtherHosts): NoteExchange => {
+const startReportExchange = (options: FleetOptions, view: FleetView, getOthers: GetOtherHosts): LoadReportExchange => {
 	const {record} = options;
 	return exchangeReports({
 		own: record,
@@ -67,7 +67,7 @@
 		getRevision: view.getRevision,
 		isStoreReached: () => view.isReached() && view.getRevision() > 0,
 		onLoad: options.onLoad,
-		onPrefill: options.onReading,
+		onPrefill: options.onPrefill,
 		onChanges({after, revision, changes}) {
 			const now = options.clock.monotonic();
 			if (after <= view.getRevision() && view.getRevision() > 0) {
@@ -78,7 +78,7 @@
 	});
 };
 
-const createHostSelector = ({record, random, isStopping}: FleetOptions, reportExchange: NoteExchange, getOthers: GetOtherHosts) => (zone: Zone | undefined): HostRecord[] => {
+const createHostSelector = ({record, random, isStopping}: FleetOptions, reportExchange: LoadReportExchange, getOthers: GetOtherHosts) => (zone: Zone | undefined): HostRecord[] => {
 	const isHostStopping = (host: HostId): boolean => host === record.host ? isStopping() : reportExchange.isStopping(host);
 	const observed = [record, ...getOthers()].map(other => ({
 		record: other, silence: reportExchange.getSilence(other.host), isStopping: isHostStopping(other.host),
@@ -108,17 +108,17 @@
 		logger,
 		fetchFromPeer: peerViewClient.fetchNewer,
 		getNewestRevision: reportExchange.getNewestRevision,
-		hasRelayFeed: reportExchange.isFed,
-		onChanges: reportExchange.addChanges,
+		hasRelayFeed: reportExchange.hasRelayFeed,
+		onChanges: reportExchange.sendChanges,
 	});
 	return {
 		view,
-		notes: reportExchange,
+		reportExchange,
 		refresh,
 		registration: registerHost({
 			store, record, clock, logger,
 		}),
 		countHosts: () => getOthers().length + 1,
-		getOffered: createHostSelector(options, reportExchange, getOthers),
+		getHostsForCaller: createHostSelector(options, reportExchange, getOthers),
 	};
 };
--- a/packages/discovery/src/load-report.ts
+++ b/packages/discovery/src/load-report.ts
@@ -28,7 +28,7 @@
 	sequence: number,
 	revision: number,
 	isStopping: 0 | 1,
-	loads: Array<[upstream: UpstreamKey, running: number, unreadTokens: number, delicate: number, awaitedTokens: number]>,
+	loads: Array<[upstream: UpstreamKey, running: number, unreadTokens: number, latencySensitiveStreams: number, queuedTokens: number]>,
 	prefills: Array<[upstream: UpstreamKey, model: string, parts: Array<[id: string, tokens: number]>]>,
 	crashes: Array<[fingerprint: string, upstream: UpstreamKey]>,
 	cleared: string[],
@@ -41,7 +41,7 @@
 	report.sequence,
 	report.revision,
 	report.isStopping ? 1 : 0,
-	report.loads.map(load => [load.upstream, load.running, load.unreadTokens, load.delicate, load.awaitedTokens]),
+	report.loads.map(load => [load.upstream, load.running, load.unreadTokens, load.latencySensitiveStreams, load.queuedTokens]),
 	report.prefills.map(({upstream, model, parts}) => [upstream, model, parts.map(({id, tokens}) => [id, tokens])]),
 	report.crashes.map(({fingerprint, upstream}) => [fingerprint, upstream]),
 	report.cleared,
@@ -72,8 +72,8 @@
 		sequence,
 		revision,
 		isStopping: isStopping === 1,
-		loads: loads.map(([upstream, running, unreadTokens, delicate, awaitedTokens]) => ({
-			upstream, running, unreadTokens, delicate, awaitedTokens,
+		loads: loads.map(([upstream, running, unreadTokens, latencySensitiveStreams, queuedTokens]) => ({
+			upstream, running, unreadTokens, latencySensitiveStreams, queuedTokens,
 		})),
 		prefills: prefills.map(([upstream, model, parts]) => ({upstream, model, parts: parts.map(([id, tokens]) => ({id, tokens}))})),
 		crashes: crashes.map(([fingerprint, upstream]) => ({fingerprint, upstream})),
--- a/packages/discovery/src/load-tracker.ts
+++ b/packages/discovery/src/load-tracker.ts
@@ -2,61 +2,61 @@
 import type {HostId, Incarnation, Milliseconds} from '@gentianlift/types';
 
 /** Load that the requests of one host put on an upstream, or a change of that load. */
-export type CausedLoad = Omit<UpstreamLoad, 'progressAt'>;
+export type LoadContribution = Omit<UpstreamLoad, 'progressAt'>;
 
 /** Load that one host puts on one upstream, as carried by its load reports. */
-export type ReportedLoad = CausedLoad & {upstream: UpstreamKey};
+export type ReportedLoad = LoadContribution & {upstream: UpstreamKey};
 
 /** Tracks the load of each upstream, by the host whose requests cause it. */
-export type LoadBook = {
+export type LoadTracker = {
 	/** Adds a change to the load that this host causes. */
-	addOwn: (upstream: UpstreamKey, change: CausedLoad, now: Milliseconds) => void;
+	addOwnLoad: (upstream: UpstreamKey, change: LoadContribution, now: Milliseconds) => void;
 	getOwnLoads: () => ReportedLoad[];
 	/** Records the load that another host reports; each reported load replaces the known one of the same upstream. */
 	setReported: (host: HostId, incarnation: Incarnation, loads: readonly ReportedLoad[], now: Milliseconds) => void;
 	/** Removes the load of hosts that have sent no report within the silence timeout. */
 	dropSilentHosts: (now: Milliseconds) => void;
 	/** Returns the prompt tokens of this host's queued requests for the upstream. */
-	getOwnAwaited: (upstream: UpstreamKey) => number;
+	getOwnQueuedTokens: (upstream: UpstreamKey) => number;
 	/** Returns the sum over all hosts. */
-	getTotal: (upstream: UpstreamKey) => UpstreamLoad;
+	getTotalLoad: (upstream: UpstreamKey) => UpstreamLoad;
 	/** Removes all load of an upstream that is no longer listed. */
-	dropUpstream: (upstream: UpstreamKey) => void;
+	removeUpstream: (upstream: UpstreamKey) => void;
 };
 
-type ReportingHost = {incarnation: Incarnation; reportedAt: Milliseconds; loads: Map<UpstreamKey, CausedLoad>};
+type ReportingHost = {incarnation: Incarnation; reportedAt: Milliseconds; loads: Map<UpstreamKey, LoadContribution>};
 
 /** Time without a report after which the load of another host no longer counts. */
 const silenceTimeout: Milliseconds = 2000;
-const zeroLoad: CausedLoad = {
-	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0,
+const zeroLoad: LoadContribution = {
+	running: 0, unreadTokens: 0, latencySensitiveStreams: 0, queuedTokens: 0,
 };
 const zeroTotal: UpstreamLoad = {...zeroLoad, progressAt: 0};
 
-const addLoads = (one: CausedLoad, other: CausedLoad, sign: 1 | -1 = 1): CausedLoad => ({
+const addLoads = (one: LoadContribution, other: LoadContribution, sign: 1 | -1 = 1): LoadContribution => ({
 	running: one.running + (sign * other.running),
 	unreadTokens: one.unreadTokens + (sign * other.unreadTokens),
-	delicate: one.delicate + (sign * other.delicate),
-	awaitedTokens: one.awaitedTokens + (sign * other.awaitedTokens),
+	latencySensitiveStreams: one.latencySensitiveStreams + (sign * other.latencySensitiveStreams),
+	queuedTokens: one.queuedTokens + (sign * other.queuedTokens),
 });
 
 /** Limits loads to 0 or more: a request may end after its upstream was removed, which subtracts load that is no longer counted. */
 const clampToZero = ({
-	running, unreadTokens, delicate, awaitedTokens,
-}: CausedLoad): CausedLoad => ({
+	running, unreadTokens, latencySensitiveStreams: delicate, queuedTokens: awaitedTokens,
+}: LoadContribution): LoadContribution => ({
 	running: Math.max(0, running),
 	unreadTokens: Math.max(0, unreadTokens),
-	delicate: Math.max(0, delicate),
-	awaitedTokens: Math.max(0, awaitedTokens),
+	latencySensitiveStreams: Math.max(0, delicate),
+	queuedTokens: Math.max(0, awaitedTokens),
 });
 
 /** Creates a tracker without any load. */
-export const createLoadBook = (): LoadBook => {
-	const ownLoads = new Map<UpstreamKey, CausedLoad>();
+export const createLoadTracker = (): LoadTracker => {
+	const ownLoads = new Map<UpstreamKey, LoadContribution>();
 	const reportingHosts = new Map<HostId, ReportingHost>();
 	const totals = new Map<UpstreamKey, UpstreamLoad>();
 
-	const updateTotal = (upstream: UpstreamKey, before: CausedLoad, after: CausedLoad, now: Milliseconds): void => {
+	const updateTotal = (upstream: UpstreamKey, before: LoadContribution, after: LoadContribution, now: Milliseconds): void => {
 		const known = totals.get(upstream) ?? zeroTotal;
 		const next = addLoads(addLoads(known, after), before, -1);
 		// Fewer unread tokens mean that a prefill has finished; the first ones mean that a prefill starts.
@@ -71,7 +71,7 @@
 	};
 
 	return {
-		addOwn(upstream, change, now) {
+		addOwnLoad(upstream, change, now) {
 			const before = ownLoads.get(upstream) ?? zeroLoad;
 			const after = clampToZero(addLoads(before, change));
 			ownLoads.set(upstream, after);
@@ -84,7 +84,7 @@
 				removeLoads(known, now);
 			}
 
-			const record = known?.incarnation === incarnation ? known : {incarnation, reportedAt: now, loads: new Map<UpstreamKey, CausedLoad>()};
+			const record = known?.incarnation === incarnation ? known : {incarnation, reportedAt: now, loads: new Map<UpstreamKey, LoadContribution>()};
 			record.reportedAt = now;
 			for (const {upstream, ...load} of loads) {
 				updateTotal(upstream, record.loads.get(upstream) ?? zeroLoad, load, now);
@@ -101,9 +101,9 @@
 				}
 			}
 		},
-		getOwnAwaited: upstream => ownLoads.get(upstream)?.awaitedTokens ?? 0,
-		getTotal: upstream => totals.get(upstream) ?? zeroTotal,
-		dropUpstream(upstream) {
+		getOwnQueuedTokens: upstream => ownLoads.get(upstream)?.queuedTokens ?? 0,
+		getTotalLoad: upstream => totals.get(upstream) ?? zeroTotal,
+		removeUpstream(upstream) {
 			ownLoads.delete(upstream);
 			totals.delete(upstream);
 			for (const {loads} of reportingHosts.values()) {
--- a/packages/discovery/src/load.test.ts
+++ b/packages/discovery/src/load.test.ts
@@ -3,44 +3,44 @@
 import type {HostRecord} from './host-record.js';
 import {createHostStatusTracker} from './host-status.js';
 import type {LoadReport} from './load-report.js';
-import {createLoadBook, type CausedLoad} from './load-tracker.js';
+import {createLoadTracker, type LoadContribution} from './load-tracker.js';
 import {decodePacket, encodePacket, type Packet} from './packet.js';
 
-const load = (changes: Partial<CausedLoad>): CausedLoad => ({
-	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0, ...changes,
+const load = (changes: Partial<LoadContribution>): LoadContribution => ({
+	running: 0, unreadTokens: 0, latencySensitiveStreams: 0, queuedTokens: 0, ...changes,
 });
 
 test('the total load is the sum over all hosts', () => {
-	const tracker = createLoadBook();
-	tracker.addOwn('u', load({running: 1, unreadTokens: 100}), 0);
+	const tracker = createLoadTracker();
+	tracker.addOwnLoad('u', load({running: 1, unreadTokens: 100}), 0);
 	tracker.setReported('h', 1, [{upstream: 'u', ...load({running: 2, unreadTokens: 50})}], 5);
-	expect(tracker.getTotal('u')).toMatchObject({running: 3, unreadTokens: 150});
+	expect(tracker.getTotalLoad('u')).toMatchObject({running: 3, unreadTokens: 150});
 	tracker.setReported('h', 1, [{upstream: 'u', ...load({running: 1})}], 9);
-	expect(tracker.getTotal('u')).toMatchObject({running: 2, unreadTokens: 100, progressAt: 9});
+	expect(tracker.getTotalLoad('u')).toMatchObject({running: 2, unreadTokens: 100, progressAt: 9});
 });
 
 test('the load of a host that has restarted or stopped reporting no longer counts', () => {
-	const tracker = createLoadBook();
+	const tracker = createLoadTracker();
 	tracker.setReported('h', 1, [{upstream: 'u', ...load({running: 5})}], 0);
 	tracker.setReported('h', 2, [{upstream: 'u', ...load({running: 1})}], 10);
-	expect(tracker.getTotal('u').running).toBe(1);
+	expect(tracker.getTotalLoad('u').running).toBe(1);
 	tracker.dropSilentHosts(5000);
-	expect(tracker.getTotal('u').running).toBe(0);
+	expect(tracker.getTotalLoad('u').running).toBe(0);
 });
 
 test('a request that ends after its upstream was removed leaves no negative load', () => {
-	const tracker = createLoadBook();
-	tracker.addOwn('u', load({running: 1}), 0);
-	tracker.dropUpstream('u');
-	tracker.addOwn('u', load({running: -1}), 0);
-	expect(tracker.getTotal('u').running).toBe(0);
+	const tracker = createLoadTracker();
+	tracker.addOwnLoad('u', load({running: 1}), 0);
+	tracker.removeUpstream('u');
+	tracker.addOwnLoad('u', load({running: -1}), 0);
+	expect(tracker.getTotalLoad('u').running).toBe(0);
 });
 
 const report: LoadReport = {
 	host: 'h', incarnation: 3, sequence: 4, revision: 5, isStopping: true,
 	loads: [{
 		upstream: 'u@1', ...load({
-			running: 1, unreadTokens: 2, delicate: 3, awaitedTokens: 4,
+			running: 1, unreadTokens: 2, latencySensitiveStreams: 3, queuedTokens: 4,
 		}),
 	}],
 	prefills: [{upstream: 'u@1', model: 'm', parts: [{id: 'p', tokens: 6}]}],
--- a/packages/discovery/src/relay.test.ts
+++ b/packages/discovery/src/relay.test.ts
@@ -8,7 +8,7 @@
 import {selectHostsForCaller} from './host-list.js';
 import type {HostRecord} from './host-record.js';
 import type {LoadReport} from './load-report.js';
-import {createLoadBook} from './load-tracker.js';
+import {createLoadTracker} from './load-tracker.js';
 import {splitChangeBatch} from './packet.js';
 import {createRelayLiveness} from './relay-liveness.js';
 import {planRelays, type RelayPlan, type RelayTargets} from './relay-plan.js';
@@ -215,7 +215,7 @@
 			getOthers: () => hosts.slice(1),
 			clock,
 			logger: createSilentLogger(),
-			loads: createLoadBook(),
+			loads: createLoadTracker(),
 			suspects: createCrashSuspects(),
 			getRevision() {
 				sent += 1;
@@ -228,7 +228,7 @@
 		});
 		for (let change = 0; change < 500; change++) {
 			exchange.addLoad('u@1', {
-				running: 1, unreadTokens: 10, delicate: 0, awaitedTokens: 0,
+				running: 1, unreadTokens: 10, latencySensitiveStreams: 0, queuedTokens: 0,
 			});
 			// eslint-disable-next-line no-await-in-loop -- The clock advances after each change.
 			await clock.advance(2);
--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -24,7 +24,7 @@
 
 /** Returns the longest wait for the head of an answer; while a retry is possible, part of the remaining time is left for it. */
 const getHeadTimeout = (call: Call, progress: Progress, timeLeft: Milliseconds): Milliseconds => {
-	const mayRetryElsewhere = call.route.kind === 'idempotent' && progress.possibleExecutions + 1 < call.route.mostUpstreams;
+	const mayRetryElsewhere = call.route.kind === 'idempotent' && progress.possibleExecutions + 1 < call.route.maxUpstreams;
 	return mayRetryElsewhere ? Math.min(timeLeft, Math.max(minFirstAttemptTimeout, timeLeft * firstAttemptFraction)) : timeLeft;
 };
 
@@ -35,7 +35,7 @@
 		caller: call.head,
 		upstream,
 		customer: call.customer?.name,
-		timeLeft,
+		remainingTime: timeLeft,
 		rank: call.rank,
 		resumeAfter: progress.lastEventId,
 		bodyLength: call.body.length,
@@ -46,7 +46,7 @@
 		target: call.target,
 		headers,
 		body: call.body,
-		attemptId: call.head.attempt,
+		attemptId: call.head.attemptId,
 		headTimeout: getHeadTimeout(call, progress, timeLeft),
 	};
 };
@@ -143,7 +143,7 @@
 	const {every} = context.clock;
 	return every(silenceCheckInterval, () => {
 		if (context.tracker.getSilence(upstream) > silenceTimeout) {
-			context.logger.info('upstream-silent', {request: call.head.attempt, upstream: getUpstreamKey(upstream), limit: Math.round(silenceTimeout)});
+			context.logger.info('upstream-silent', {request: call.head.attemptId, upstream: getUpstreamKey(upstream), limit: Math.round(silenceTimeout)});
 			cancel();
 		}
 	});
@@ -199,12 +199,12 @@
 	};
 	if (prompt !== undefined) {
 		context.tracker.recordPrefill(key, prompt);
-		context.reports.addReading({upstream: key, model: prompt.model, parts: prompt.parts});
+		context.reports.addPrefill({upstream: key, model: prompt.model, parts: prompt.parts});
 	}
 
 	const service = context.view.getRoutes()?.services.get(call.service);
 	// Each host uses an equal part of the service's connection limit, less 10 %.
-	const connections = Math.max(4, Math.floor((service?.mostConnections ?? 64) * 0.9 / context.countHosts()));
+	const connections = Math.max(4, Math.floor((service?.maxConnections ?? 64) * 0.9 / context.countHosts()));
 	const {outcome, cancel} = send(buildUpstreamRequest(call, progress, upstream, context), {
 		agent: context.tracker.getAgent(upstream, call.route.kind, connections), protocol: context.protocol, clock: context.clock,
 	});
--- a/packages/forwarder/src/call.ts
+++ b/packages/forwarder/src/call.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
 import {
-	isRepeatable, type KeyHolder, type Route, type UpstreamKey,
+	isRetryable, type CustomerKeys, type Route, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import type {CallerHead} from './protocol.js';
@@ -15,7 +15,7 @@
 	body: Uint8Array;
 	route: Route;
 	service: string;
-	customer: KeyHolder | undefined;
+	customer: CustomerKeys | undefined;
 	rank: Rank;
 	/** Whether another upstream may run the request again, or resume its stream, after one may have executed it. */
 	isRetryable: boolean;
@@ -63,8 +63,8 @@
 export const createCall = (parts: CallParts): Call => ({
 	...parts,
 	rank: parts.customer?.rank ?? parts.route.rank,
-	isRetryable: isRepeatable(parts.route),
-	deadline: parts.arrivedAt + Math.min(parts.route.timeout, parts.head.patience ?? parts.route.timeout),
+	isRetryable: isRetryable(parts.route),
+	deadline: parts.arrivedAt + Math.min(parts.route.timeout, parts.head.clientTimeout ?? parts.route.timeout),
 });
 
 /** Creates the state of a call without attempts. */
--- a/packages/forwarder/src/context.ts
+++ b/packages/forwarder/src/context.ts
@@ -1,8 +1,8 @@
 import type {Clock, Random} from '@gentianlift/clock';
-import type {FleetView, NoteExchange} from '@gentianlift/discovery';
+import type {FleetView, LoadReportExchange} from '@gentianlift/discovery';
 import type {Logger} from '@gentianlift/logger';
 import type {Metrics} from '@gentianlift/metrics';
-import type {CrashSuspects, RetryBound} from '@gentianlift/routing';
+import type {CrashSuspects, RetryLimit} from '@gentianlift/routing';
 import type {Milliseconds, Zone} from '@gentianlift/types';
 import type {CrashDetector} from './crash-detector.js';
 import type {Protocol} from './protocol.js';
@@ -18,13 +18,13 @@
 	zone: Zone;
 	view: FleetView;
 	/** Exchange of load reports and events with the other hosts. */
-	reports: NoteExchange;
+	reports: LoadReportExchange;
 	tracker: UpstreamTracker;
 	/** Requests that were running on upstreams when these crashed. */
 	suspects: CrashSuspects;
 	crashDetector: CrashDetector;
 	/** Bound on retries; updated in place when the settings are reloaded. */
-	retryBound: RetryBound;
+	retryBound: RetryLimit;
 	/** Returns the number of hosts that share fleet-wide limits, including this one. */
 	countHosts: () => number;
 	/** Whether the host is in a graceful shutdown. */
--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -226,5 +226,5 @@
 test('the load of an upstream returns to zero after its request has ended', async () => {
 	const {host} = await start(answerOk);
 	await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}});
-	await expect.poll(() => host.loads.getTotal('u0@1').running).toBe(0);
+	await expect.poll(() => host.loads.getTotalLoad('u0@1').running).toBe(0);
 });
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -1,6 +1,6 @@
 import type {ErrorKind} from '@gentianlift/errors';
 import {
-	createRetryBudget, decideResend, getUpstreamKey, type RetryBudget,
+	createRetryBudget, decideRetry, getUpstreamKey, type RetryBudget,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import {attemptUpstream} from './attempt.js';
@@ -74,24 +74,24 @@
 	};
 
 	/** Decides whether to try another upstream; while no attempt has reached an upstream, the retry budget isn't charged. */
-	const decideRetry = (call: Call, progress: Progress, lastOutcome: Exclude<AttemptOutcome, {kind: 'delivered'}>): boolean => {
+	const decideNextAttempt = (call: Call, progress: Progress, lastOutcome: Exclude<AttemptOutcome, {kind: 'delivered'}>): boolean => {
 		if (lastOutcome.kind === 'spoiled') {
 			return false;
 		}
 
-		const decision = decideResend({
-			isNotRun: lastOutcome.kind !== 'failed',
-			isRepeatable: call.isRetryable,
-			upstreamsRun: progress.possibleExecutions,
-			mostUpstreams: call.route.mostUpstreams,
-			sends: progress.attempts,
-			timeLeft: call.deadline - clock.monotonic(),
+		const decision = decideRetry({
+			isNotExecuted: lastOutcome.kind !== 'failed',
+			isRetryable: call.isRetryable,
+			possibleExecutions: progress.possibleExecutions,
+			maxUpstreams: call.route.maxUpstreams,
+			attempts: progress.attempts,
+			remainingTime: call.deadline - clock.monotonic(),
 		});
 		const isAllowed = decision.kind === 'resend' && (progress.attempts === 0 || getRetryBudget(call.service).take(clock.monotonic(), context.countHosts()));
 		const outcome = decision.kind === 'stop' ? decision.reason : (isAllowed ? 'resend' : 'budget');
 		metrics.count('resend_decisions_total', {outcome});
 		logger.info('attempt-failed', {
-			request: call.head.attempt, upstream: [...progress.tried].at(-1), kind: lastOutcome.kind, reason: lastOutcome.reason, decision: outcome,
+			request: call.head.attemptId, upstream: [...progress.tried].at(-1), kind: lastOutcome.kind, reason: lastOutcome.reason, decision: outcome,
 		});
 		return isAllowed;
 	};
@@ -114,7 +114,7 @@
 
 		const fingerprint = getFingerprint(call);
 		if (context.suspects.clear(fingerprint)) {
-			context.reports.addCleared(fingerprint);
+			context.reports.addClearedSuspect(fingerprint);
 		}
 	};
 
@@ -151,7 +151,7 @@
 				return {outcome: progress.hasTimedOut ? 'timeout' : 'caller-gone'};
 			}
 
-			if (!decideRetry(call, progress, lastOutcome)) {
+			if (!decideNextAttempt(call, progress, lastOutcome)) {
 				return giveUp(call, progress, lastOutcome);
 			}
 		}
@@ -178,7 +178,7 @@
 		metrics.count('calls_total', {route: call.route.name, outcome: end.outcome});
 		metrics.record('call_duration', duration, {route: call.route.name});
 		logger.info('call-ended', {
-			request: call.head.attempt,
+			request: call.head.attemptId,
 			route: call.route.name,
 			service: call.service,
 			customer: call.customer?.name,
@@ -198,7 +198,7 @@
 		onLoadChange: queue.requestDispatch,
 		async forward(call) {
 			const progress = createProgress();
-			progress.lastEventId = call.head.lastEvent;
+			progress.lastEventId = call.head.lastEventId;
 			getRetryBudget(call.service).addRequest(clock.monotonic());
 			const cancelTimer = clock.after(Math.max(0, call.deadline - clock.monotonic()), () => {
 				endOnTimeout(call, progress);
--- a/packages/forwarder/src/protocol.ts
+++ b/packages/forwarder/src/protocol.ts
@@ -7,15 +7,15 @@
 /** Parsed headers of a caller's request. */
 export type CallerHead = {
 	/** Id that the caller gave to this attempt of its request. */
-	attempt: string | undefined;
+	attemptId: string | undefined;
 	hostname: string;
 	/** Key that authenticates the caller. */
 	key: string | undefined;
 	/** Client timeout: how long the caller waits for the final answer. */
-	patience: Milliseconds | undefined;
+	clientTimeout: Milliseconds | undefined;
 	prompt: Prompt | undefined;
 	/** Id of the last event that the caller has received, if it resumes a stream. */
-	lastEvent: number | undefined;
+	lastEventId: number | undefined;
 	/** Whether the request declares a body, which may be empty. */
 	declaresBody: boolean;
 	/** Headers that are forwarded to the upstream unchanged. */
@@ -28,7 +28,7 @@
 	upstream: Upstream;
 	customer: CustomerId | undefined;
 	/** Time left until the deadline of the call. */
-	timeLeft: Milliseconds;
+	remainingTime: Milliseconds;
 	rank: Rank;
 	/** Id of the last event that the caller has received, if the upstream is to resume a stream. */
 	resumeAfter: number | undefined;
@@ -39,9 +39,9 @@
 export type AnswerHead = {
 	status: number;
 	/** Id of the attempt that the upstream answers, if it names one. */
-	attempt: string | undefined;
+	attemptId: string | undefined;
 	/** Whether the upstream states that it has not executed the request and never will. */
-	isNotRun: boolean;
+	isNotExecuted: boolean;
 	/** Whether the answer carries the signature header of an upstream; a success without it comes from something else. */
 	isSigned: boolean;
 	isEventStream: boolean;
@@ -55,5 +55,5 @@
 	writeUpstreamHead: (head: UpstreamHead) => string[];
 	readAnswerHead: (status: number, headers: RawHeaders) => AnswerHead;
 	/** Returns additional headers of an error answer that the router generates. */
-	writeOwnHead: (caller: CallerHead | undefined) => string[];
+	writeErrorHead: (caller: CallerHead | undefined) => string[];
 };
--- a/packages/forwarder/src/request-load.ts
+++ b/packages/forwarder/src/request-load.ts
@@ -1,4 +1,4 @@
-import type {CausedLoad, NoteExchange} from '@gentianlift/discovery';
+import type {LoadContribution, LoadReportExchange} from '@gentianlift/discovery';
 import type {UpstreamKey} from '@gentianlift/routing';
 
 /** The load that a request adds to its upstream. */
@@ -9,23 +9,23 @@
 	end: () => void;
 };
 
-const noChange: CausedLoad = {
-	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0,
+const noChange: LoadContribution = {
+	running: 0, unreadTokens: 0, latencySensitiveStreams: 0, queuedTokens: 0,
 };
 
 /** Adds to the number of prompt tokens queued at this host for an upstream, as reported to the other hosts. */
-export const addQueuedTokens = (reports: Pick<NoteExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
-	reports.addLoad(upstream, {...noChange, awaitedTokens: queuedTokens});
+export const addQueuedTokens = (reports: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
+	reports.addLoad(upstream, {...noChange, queuedTokens});
 };
 
 /** Adds a request to the load of an upstream; `latencySensitive` is 1 if prefills of long prompts beside it would make it miss its target. */
-export const startRequestLoad = (reports: Pick<NoteExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
+export const startRequestLoad = (reports: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
 	let unread = unreadTokens;
-	const add = (change: Partial<CausedLoad>): void => {
+	const add = (change: Partial<LoadContribution>): void => {
 		reports.addLoad(upstream, {...noChange, ...change});
 	};
 
-	add({running: 1, unreadTokens, delicate: latencySensitive});
+	add({running: 1, unreadTokens, latencySensitiveStreams: latencySensitive});
 	const finishPrefill = (): void => {
 		if (unread > 0) {
 			add({unreadTokens: -unread});
@@ -37,7 +37,7 @@
 		finishPrefill,
 		end() {
 			finishPrefill();
-			add({running: -1, delicate: -latencySensitive});
+			add({running: -1, latencySensitiveStreams: -latencySensitive});
 		},
 	};
 };
--- a/packages/forwarder/src/request-queue.test.ts
+++ b/packages/forwarder/src/request-queue.test.ts
@@ -1,6 +1,6 @@
 import {createManualClock, createRandom, type ManualClock} from '@gentianlift/clock';
 import {
-	createFleetView, createLoadBook, type LoadBook, type NoteExchange,
+	createFleetView, createLoadTracker, type LoadTracker, type LoadReportExchange,
 } from '@gentianlift/discovery';
 import {createSilentLogger} from '@gentianlift/logger';
 import {createMetrics} from '@gentianlift/metrics';
@@ -15,18 +15,18 @@
 import {createUpstreamTracker, type UpstreamTracker} from './upstream-tracker.js';
 import {createRequestQueue, type Assignment, type RequestQueue} from './request-queue.js';
 
-const question = buildRoute({name: 'question', rank: 0, target: 300});
+const question = buildRoute({name: 'question', rank: 0, latencyTarget: 300});
 const review = buildRoute({
-	name: 'review', rank: 2, target: 1500, timeout: 10_000,
+	name: 'review', rank: 2, latencyTarget: 1500, timeout: 10_000,
 });
 const configuration = buildConfiguration({
 	routes: [question, review],
-	services: [{name: 's', mostConnections: 100, engine: {slots: 64, cacheTokens: 500_000, tokensForEvent: 3}}],
+	services: [{name: 's', maxConnections: 100, engine: {slots: 64, cacheTokens: 500_000, tokensPerEvent: 3}}],
 });
 
 type TestSetup = {
 	clock: ManualClock;
-	loads: LoadBook;
+	loads: LoadTracker;
 	tracker: UpstreamTracker;
 	queue: RequestQueue;
 	/** Number of candidate lookups, and the simulated duration of each. */
@@ -35,7 +35,7 @@
 
 const createTestSetup = (upstreams: readonly Upstream[]): TestSetup => {
 	const clock = createManualClock(1000);
-	const loads = createLoadBook();
+	const loads = createLoadTracker();
 	const logger = createSilentLogger();
 	const tracker = createUpstreamTracker({clock, logger, loads});
 	const view = createFleetView({
@@ -46,9 +46,9 @@
 		},
 	});
 	view.applySnapshot({entries: ['c', ...upstreams.map(({id}) => id)].map(key => ({key, value: '', revision: 1})), revision: 1}, 0);
-	const reports: Pick<NoteExchange, 'addLoad'> = {
+	const reports: Pick<LoadReportExchange, 'addLoad'> = {
 		addLoad(upstream, change) {
-			loads.addOwn(upstream, change, clock.monotonic());
+			loads.addOwnLoad(upstream, change, clock.monotonic());
 		},
 	};
 	const lookups = {count: 0, time: 0};
@@ -61,7 +61,7 @@
 		},
 	};
 	const context: Pick<ForwarderContext, 'clock' | 'view' | 'tracker' | 'metrics' | 'reports' | 'random' | 'zone'> = {
-		clock, view, tracker: countingTracker, metrics: createMetrics(), reports: reports as NoteExchange, random: createRandom(1), zone: 'a',
+		clock, view, tracker: countingTracker, metrics: createMetrics(), reports: reports as LoadReportExchange, random: createRandom(1), zone: 'a',
 	};
 	return {
 		clock, loads, tracker, lookups, queue: createRequestQueue(context as ForwarderContext),
@@ -72,7 +72,7 @@
 	method: 'POST',
 	target: '/a/',
 	head: {
-		attempt: name, hostname: 'a.example', key: undefined, patience: undefined, lastEvent: undefined, declaresBody: true, forwarded: [],
+		attemptId: name, hostname: 'a.example', key: undefined, clientTimeout: undefined, lastEventId: undefined, declaresBody: true, forwarded: [],
 		prompt: {
 			model: 'm', parts: [{id: name, tokens}], inputTokens: tokens, outputTokens: 10,
 		},
@@ -181,11 +181,11 @@
 	const first = enqueue(setup, manyReviews[0]!, dispatched);
 	enqueue(setup, manyReviews[1]!, dispatched);
 	await setup.clock.advance(20);
-	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
+	expect(setup.loads.getTotalLoad('u1@1').queuedTokens).toBe(16_000);
 	const assignment = await first.assignment;
 	assignment?.load.end();
 	await setup.clock.advance(20);
-	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(0);
+	expect(setup.loads.getTotalLoad('u1@1').queuedTokens).toBe(0);
 });
 
 test('reported queued tokens are withdrawn when the caller disconnects', async () => {
@@ -194,11 +194,11 @@
 	enqueue(setup, manyReviews[0]!, dispatched);
 	const second = enqueue(setup, manyReviews[1]!, dispatched);
 	await setup.clock.advance(20);
-	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(16_000);
+	expect(setup.loads.getTotalLoad('u1@1').queuedTokens).toBe(16_000);
 	second.progress.isCallerGone = true;
 	second.progress.cancel?.();
 	await setup.clock.advance(20);
-	expect(setup.loads.getTotal('u1@1').awaitedTokens).toBe(0);
+	expect(setup.loads.getTotalLoad('u1@1').queuedTokens).toBe(0);
 });
 
 const service = configuration.services[0]!;
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -1,5 +1,5 @@
 import {
-	chooseUpstream, compareWaiting, getBacklogLimit, getUpstreamKey, isDelicateRoute, type Candidate, type Placement, type RouteTable, type Service, type UpstreamKey,
+	chooseUpstream, compareQueued, getBacklogLimit, getUpstreamKey, isLatencySensitiveRoute, type Candidate, type Placement, type RouteTable, type Service, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import type {Call, Progress} from './call.js';
@@ -66,18 +66,18 @@
 	};
 
 	/** Returns the time left until the route's latency target. */
-	const getSlack = ({call}: QueuedRequest): Milliseconds => call.arrivedAt + call.route.target - clock.monotonic();
+	const getSlack = ({call}: QueuedRequest): Milliseconds => call.arrivedAt + call.route.latencyTarget - clock.monotonic();
 
 	const getQueueOrder = (entry: QueuedRequest) => ({
 		rank: entry.call.rank,
-		dueAt: entry.call.arrivedAt + entry.call.route.target,
+		dueAt: entry.call.arrivedAt + entry.call.route.latencyTarget,
 		isLate: getSlack(entry) <= 0,
 	});
 
 	const getPlacement = (entry: QueuedRequest, isLatencySensitive: boolean): Placement => ({
 		zone: context.zone,
 		hasPrompt: entry.call.head.prompt !== undefined,
-		isDelicate: isLatencySensitive,
+		isLatencySensitive,
 		slack: getSlack(entry),
 	});
 
@@ -92,7 +92,7 @@
 		const table = view.getRoutes();
 		const service = table?.services.get(call.service);
 		const candidates = service === undefined ? [] : getCandidates(entry, service, queuedTokens);
-		const isLatencySensitive = isDelicateRoute(call.route, service, tracker.getPrefillRate(candidates.map(({upstream}) => upstream)));
+		const isLatencySensitive = isLatencySensitiveRoute(call.route, service, tracker.getPrefillRate(candidates.map(({upstream}) => upstream)));
 		const candidate = chooseUpstream(candidates, getPlacement(entry, isLatencySensitive), context.random);
 		if (table === undefined || candidate === undefined) {
 			return {kind: 'impossible'};
@@ -158,7 +158,7 @@
 		const queuedTokens: QueuedTokens = new Map();
 		entries = entries
 			.map(entry => ({entry, order: getQueueOrder(entry)}))
-			.toSorted((one, other) => compareWaiting(one.order, other.order))
+			.toSorted((one, other) => compareQueued(one.order, other.order))
 			.map(({entry}) => entry)
 			.filter(entry => processEntry(entry, queuedTokens));
 		reportQueuedTokens(queuedTokens);
@@ -189,7 +189,7 @@
 	/** Whether no queued call goes before the entry. */
 	const isFirstInOrder = (entry: QueuedRequest): boolean => {
 		const order = getQueueOrder(entry);
-		return entries.every(other => compareWaiting(order, getQueueOrder(other)) < 0);
+		return entries.every(other => compareQueued(order, getQueueOrder(other)) < 0);
 	};
 
 	return {
--- a/packages/forwarder/src/send.test.ts
+++ b/packages/forwarder/src/send.test.ts
@@ -12,8 +12,8 @@
 const protocol: Pick<Protocol, 'readAnswerHead'> = {
 	readAnswerHead: (status, headers) => ({
 		status,
-		attempt: headers[headers.indexOf('Attempt') + 1],
-		isNotRun: status === 421,
+		attemptId: headers[headers.indexOf('Attempt') + 1],
+		isNotExecuted: status === 421,
 		isSigned: true,
 		isEventStream: false,
 		forwarded: headers,
--- a/packages/forwarder/src/send.ts
+++ b/packages/forwarder/src/send.ts
@@ -61,13 +61,13 @@
 /** Classifies an answer by its head; closes the connection of an answer to another attempt and of an unsigned success. */
 const classifyAnswer = (answer: Incoming, head: AnswerHead, attemptId: string | undefined): SendOutcome => {
 	const {message} = answer;
-	const isMismatched = head.attempt !== undefined && attemptId !== undefined && head.attempt !== attemptId;
+	const isMismatched = head.attemptId !== undefined && attemptId !== undefined && head.attemptId !== attemptId;
 	if (isMismatched) {
 		message.destroy();
 		return {kind: 'broken', reason: 'answer-of-another-request'};
 	}
 
-	if (head.isNotRun) {
+	if (head.isNotExecuted) {
 		discard(message);
 		return {kind: 'rejected', status: head.status};
 	}
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -3,7 +3,7 @@
 } from 'node:http';
 import type {Socket} from 'node:net';
 import {
-	drawDestination, findCaller, findRoute, type CallerLimits, type KeyHolder, type Route, type RouteTable,
+	pickDestination, findCaller, findRoute, type CallerLimits, type CustomerKeys, type Route, type RouteTable,
 } from '@gentianlift/routing';
 import {errorTable, type ErrorKind} from '@gentianlift/errors';
 import type {Milliseconds} from '@gentianlift/types';
@@ -31,7 +31,7 @@
 
 /** Route and service of an admitted request, or the error of a refused one. */
 type Admission
-	= | {kind: 'admitted'; table: RouteTable; route: Route; service: string; customer: KeyHolder | undefined}
+	= | {kind: 'admitted'; table: RouteTable; route: Route; service: string; customer: CustomerKeys | undefined}
 		| {kind: 'refused'; error: Extract<ErrorKind, 'not-configured' | 'host-overloaded' | 'host-stopping' | 'unknown-path' | 'wrong-key' | 'missing-key'>};
 
 /** Size of headers above which Node rejects a request before the configured limit applies. */
@@ -101,7 +101,7 @@
 			return {kind: 'refused', error: head.key === undefined ? 'missing-key' : 'wrong-key'};
 		}
 
-		const destination = drawDestination(route.destinations, context.random);
+		const destination = pickDestination(route.destinations, context.random);
 		const customer = caller.kind === 'customer' ? caller.customer : undefined;
 		return destination === undefined
 			? {kind: 'refused', error: 'unknown-path'}
@@ -145,7 +145,7 @@
 	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, errorAnswer: ErrorAnswer): void => {
 		metrics.count('refusals_total', {reason: errorAnswer.kind});
 		logger.info('call-refused', {
-			request: head.attempt, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
+			request: head.attemptId, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
 			age: Math.round(view.getSilence(clock.monotonic())),
 		});
 		writeErrorAnswer({
@@ -159,7 +159,7 @@
 			return {kind: 'body-too-large'};
 		}
 
-		if (getHeaderBytes(headers) > (limits?.mostHeaderBytes ?? maxHeaderBytes)) {
+		if (getHeaderBytes(headers) > (limits?.maxHeaderBytes ?? maxHeaderBytes)) {
 			return {kind: 'headers-too-large'};
 		}
 
@@ -181,11 +181,11 @@
 		const head = protocol.readCallerHead(request.rawHeaders);
 		const target = request.url ?? '/';
 		const limits = view.getRoutes()?.configuration.limits;
-		const pendingBody = readBody({message: request, hasFailed: () => false}, limits?.mostBodyBytes ?? Number.POSITIVE_INFINITY);
+		const pendingBody = readBody({message: request, hasFailed: () => false}, limits?.maxBodyBytes ?? Number.POSITIVE_INFINITY);
 		const admission = await admitWithRefresh(head, target);
 		const body = await pendingBody;
 		if (body.kind === 'broken') {
-			logger.info('call-broken', {request: head.attempt, reason: body.reason});
+			logger.info('call-broken', {request: head.attemptId, reason: body.reason});
 			response.destroy();
 			return;
 		}
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -1,10 +1,10 @@
 import {createRandom, type Clock} from '@gentianlift/clock';
 import {
-	createLoadBook, createViewServer, joinFleet, type Fleet, type FleetItem, type FleetStore, type HostRecord,
+	createLoadTracker, createViewServer, joinFleet, type Fleet, type DecodedEntry, type FleetStore, type HostRecord,
 } from '@gentianlift/discovery';
 import type {Logger} from '@gentianlift/logger';
 import {createMetrics} from '@gentianlift/metrics';
-import {createCrashSuspects, type RetryBound} from '@gentianlift/routing';
+import {createCrashSuspects, type RetryLimit} from '@gentianlift/routing';
 import type {
 	Address, Entry, HostId, Milliseconds, Zone,
 } from '@gentianlift/types';
@@ -22,20 +22,20 @@
 	host: HostId;
 	zone: Zone;
 	/** Processing capacity of the host, in cores of standard speed. */
-	strength: number;
+	capacity: number;
 	/** Address on which callers' requests are received. */
 	callers: Address;
 	/** Address on which other hosts' requests are received. */
 	peers: Address;
 	/** UDP address on which load reports of other hosts are received. */
-	notes: Address;
+	loadReports: Address;
 	/** Peer addresses of some other hosts, which may be gone. */
 	knownPeers: Address[];
 	/** Grace period between the signal to stop and the kill of the process. */
-	grace: Milliseconds;
+	gracePeriod: Milliseconds;
 	/** Time to live of a list of addresses that callers were given. */
-	addressLife: Milliseconds;
-	retryBound: RetryBound;
+	addressTtl: Milliseconds;
+	retryBound: RetryLimit;
 };
 
 /** Dependencies of a host, apart from its settings. */
@@ -44,7 +44,7 @@
 	logger: Logger;
 	store: FleetStore;
 	/** Decodes an entry that was written by operators or by an upstream. */
-	decode: (entry: Entry) => FleetItem;
+	decode: (entry: Entry) => DecodedEntry;
 	protocol: Protocol;
 };
 
@@ -53,9 +53,9 @@
 	/** Whether the host is ready for requests: it has a configuration and isn't stopping. */
 	isReady: () => boolean;
 	/** Returns the hosts that a caller in the availability zone is directed to. */
-	getOffered: (zone: Zone | undefined) => HostRecord[];
+	getHostsForCaller: (zone: Zone | undefined) => HostRecord[];
 	/** Time to live of the list of hosts that callers are given. */
-	offerLife: Milliseconds;
+	addressTtl: Milliseconds;
 	/** Returns the metrics in the text format that is served to scrapers. */
 	getMetricsPage: () => string;
 	/** Applies the grace period, the time to live of addresses and the bound on retries; changed addresses apply at the next start. */
@@ -77,8 +77,8 @@
 	zone: settings.zone,
 	callers: settings.callers,
 	peers: settings.peers,
-	notes: settings.notes,
-	strength: settings.strength,
+	notes: settings.loadReports,
+	strength: settings.capacity,
 	isStopping: false,
 });
 
@@ -88,7 +88,7 @@
 /** Joins the fleet and creates the dependencies that the forwarder's modules share. */
 const createContext = (settings: HostSettings, {clock, logger, store, decode, protocol}: HostDependencies, shutdown: Shutdown, onLoad: () => void): {context: ForwarderContext; fleet: Fleet} => {
 	const random = createRandom(clock.now() % seedRange);
-	const loads = createLoadBook();
+	const loads = createLoadTracker();
 	const tracker = createUpstreamTracker({clock, logger, loads});
 	const suspects = createCrashSuspects();
 	const isStopping = (): boolean => shutdown.since !== undefined;
@@ -104,7 +104,7 @@
 		suspects,
 		isStopping,
 		onLoad,
-		onReading({upstream, model, parts}) {
+		onPrefill({upstream, model, parts}) {
 			tracker.recordPrefill(upstream, {model, parts});
 		},
 		onRemoved: tracker.remove,
@@ -117,7 +117,7 @@
 		protocol,
 		zone: settings.zone,
 		view: fleet.view,
-		reports: fleet.notes,
+		reports: fleet.reportExchange,
 		tracker,
 		suspects,
 		crashDetector: createCrashDetector(clock),
@@ -132,8 +132,8 @@
 /** Starts a host: joins the fleet and listens for callers and other hosts. Rejects if an address can't be used. */
 export const startHost = async (settings: HostSettings, dependencies: HostDependencies): Promise<Host> => {
 	const {clock, logger} = dependencies;
-	const shutdown: Shutdown = {since: undefined, gracePeriod: settings.grace};
-	let addressListTtl = Math.min(settings.addressLife, maxAddressListTtl);
+	const shutdown: Shutdown = {since: undefined, gracePeriod: settings.gracePeriod};
+	let addressListTtl = Math.min(settings.addressTtl, maxAddressListTtl);
 	const {context, fleet} = createContext(settings, dependencies, shutdown, () => {
 		forwarder.onLoadChange();
 	});
@@ -143,23 +143,23 @@
 	logger.info('started', {host: settings.host, zone: settings.zone, callers: settings.callers});
 
 	const announce = async (): Promise<void> => {
-		fleet.notes.markStopping();
+		fleet.reportExchange.markStopping();
 		await fleet.registration.markStopping();
 	};
 
 	return {
 		isReady: () => shutdown.since === undefined && fleet.view.getRoutes() !== undefined,
-		getOffered: fleet.getOffered,
-		get offerLife() {
+		getHostsForCaller: fleet.getHostsForCaller,
+		get addressTtl() {
 			return addressListTtl;
 		},
 		getMetricsPage: context.metrics.getPage,
 		reload(next) {
-			shutdown.gracePeriod = next.grace;
-			addressListTtl = Math.min(next.addressLife, maxAddressListTtl);
+			shutdown.gracePeriod = next.gracePeriod;
+			addressListTtl = Math.min(next.addressTtl, maxAddressListTtl);
 			Object.assign(context.retryBound, next.retryBound);
 			logger.info('reloaded', {
-				grace: next.grace, offerLife: addressListTtl, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
+				grace: next.gracePeriod, offerLife: addressListTtl, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
 			});
 		},
 		async stop() {
--- a/packages/forwarder/src/test-deployment.ts
+++ b/packages/forwarder/src/test-deployment.ts
@@ -7,7 +7,7 @@
 	routes: [
 		buildRoute({name: 'read', pathPrefix: '/read/', timeout: 1500}),
 		buildRoute({
-			name: 'book', pathPrefix: '/book/', kind: 'non-idempotent', mostUpstreams: 1, timeout: 1500,
+			name: 'book', pathPrefix: '/book/', kind: 'non-idempotent', maxUpstreams: 1, timeout: 1500,
 		}),
 		buildRoute({
 			name: 'stream', pathPrefix: '/stream/', kind: 'streaming', isResumable: true, timeout: 5000,
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -4,7 +4,7 @@
 import type {AddressInfo} from 'node:net';
 import {createRandom, createSystemClock} from '@gentianlift/clock';
 import {
-	createFleetView, createLoadBook, type FleetView, type LoadBook, type NoteExchange,
+	createFleetView, createLoadTracker, type FleetView, type LoadTracker, type LoadReportExchange,
 } from '@gentianlift/discovery';
 import {createLogger} from '@gentianlift/logger';
 import {createMetrics} from '@gentianlift/metrics';
@@ -24,7 +24,7 @@
 	context: ForwarderContext;
 	/** Lines that the host has logged. */
 	logLines: string[];
-	loads: LoadBook;
+	loads: LoadTracker;
 	/** Replaces the upstreams that are listed at the host. */
 	setUpstreams: (upstreams: readonly Upstream[]) => void;
 	setStopping: (isStopping: boolean) => void;
@@ -45,21 +45,21 @@
 		const timeout = getValue(headers, 'timeout');
 		const lastEvent = getValue(headers, 'last-event');
 		return {
-			attempt: getValue(headers, 'attempt'),
+			attemptId: getValue(headers, 'attempt'),
 			hostname: 'a.example',
 			key: getValue(headers, 'key'),
-			patience: timeout === undefined ? undefined : Number(timeout),
+			clientTimeout: timeout === undefined ? undefined : Number(timeout),
 			prompt: undefined,
-			lastEvent: lastEvent === undefined ? undefined : Number(lastEvent),
+			lastEventId: lastEvent === undefined ? undefined : Number(lastEvent),
 			declaresBody: getValue(headers, 'content-length') !== undefined,
 			forwarded: [],
 		};
 	},
-	writeUpstreamHead: ({caller, upstream, timeLeft, resumeAfter, bodyLength}) => [
+	writeUpstreamHead: ({caller, upstream, remainingTime: timeLeft, resumeAfter, bodyLength}) => [
 		'Host',
 		'a.example',
 		'Attempt',
-		caller.attempt ?? '',
+		caller.attemptId ?? '',
 		'Instance',
 		upstream.id,
 		'Timeout',
@@ -70,13 +70,13 @@
 	],
 	readAnswerHead: (status, headers) => ({
 		status,
-		attempt: getValue(headers, 'attempt'),
-		isNotRun: getValue(headers, 'not-run') !== undefined,
+		attemptId: getValue(headers, 'attempt'),
+		isNotExecuted: getValue(headers, 'not-run') !== undefined,
 		isSigned: getValue(headers, 'signed') !== undefined,
 		isEventStream: getValue(headers, 'content-type') === 'text/event-stream',
 		forwarded: headers.filter((_, index) => !['connection', 'keep-alive', 'transfer-encoding'].includes((headers[index - (index % 2)] ?? '').toLowerCase())),
 	}),
-	writeOwnHead: () => [],
+	writeErrorHead: () => [],
 };
 
 const listenOnAnyPort = async (server: Server): Promise<number> => {
@@ -98,19 +98,19 @@
 	};
 };
 
-const createReports = (loads: LoadBook): NoteExchange => ({
+const createReports = (loads: LoadTracker): LoadReportExchange => ({
 	addLoad(upstream, change) {
-		loads.addOwn(upstream, change, performance.now());
+		loads.addOwnLoad(upstream, change, performance.now());
 	},
-	addReading: () => undefined,
+	addPrefill: () => undefined,
 	addCrash: () => undefined,
-	addCleared: () => undefined,
+	addClearedSuspect: () => undefined,
 	markStopping: () => undefined,
 	getNewestRevision: () => 0,
 	getShortestSilence: () => Number.POSITIVE_INFINITY,
 	getSilence: () => Number.POSITIVE_INFINITY,
-	addChanges: () => undefined,
-	isFed: () => false,
+	sendChanges: () => undefined,
+	hasRelayFeed: () => false,
 	isStopping: () => false,
 	close: () => undefined,
 });
@@ -130,7 +130,7 @@
 	const logger = createLogger('info', line => {
 		logLines.push(line);
 	});
-	const loads = createLoadBook();
+	const loads = createLoadTracker();
 	const upstreams = new Map<string, Upstream>();
 	const view = createView({logger}, configuration, upstreams);
 	let revision = 1;
--- a/packages/forwarder/src/upstream-tracker.ts
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -1,9 +1,9 @@
 import type {Clock} from '@gentianlift/clock';
-import type {LoadBook} from '@gentianlift/discovery';
+import type {LoadTracker} from '@gentianlift/discovery';
 import type {Logger} from '@gentianlift/logger';
 import {
-	addResult, chooseQuietUpstreams, createFailureRate, createPromptCache, createReadingSpeed, defaultReadingSpeed, getBacklog, getFailureShare, getPromptHome, getUpstreamKey, updateSeparation,
-	type Candidate, type FailureRate, type KeptTokens, type Prompt, type PromptCache, type ReadingSpeed, type RouteKind, type Separation, type Service, type Upstream, type UpstreamKey,
+	addResult, chooseReservedUpstreams, createFailureRate, createPromptCache, createPrefillRateEstimate, defaultPrefillRate, getBacklog, getFailureRatio, getPreferredUpstream, getUpstreamKey, updateReservation,
+	type Candidate, type FailureRate, type CachedTokens, type Prompt, type PromptCache, type PrefillRateEstimate, type RouteKind, type Reservation, type Service, type Upstream, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import {idleTimeouts, UpstreamAgent} from './upstream-agent.js';
@@ -41,13 +41,13 @@
 export type Exchange = {recordBytes: () => void; end: () => void};
 
 /** Dependencies of a tracker. */
-export type UpstreamTrackerOptions = {clock: Clock; logger: Logger; loads: LoadBook};
+export type UpstreamTrackerOptions = {clock: Clock; logger: Logger; loads: LoadTracker};
 
 type UpstreamState = {
 	agent: UpstreamAgent;
 	nonIdempotentAgent: UpstreamAgent;
 	cache: PromptCache | undefined;
-	prefillRate: ReadingSpeed;
+	prefillRate: PrefillRateEstimate;
 	failures: FailureRate;
 	/** Exponential moving average of the durations of answers. */
 	meanDuration: Milliseconds | undefined;
@@ -74,7 +74,7 @@
 /** Capacity of the prompt cache that is assumed where a service doesn't configure one. */
 const defaultCacheTokens = 200_000;
 
-const noCachedTokens: KeptTokens = {all: 0, shared: 0};
+const noCachedTokens: CachedTokens = {all: 0, shared: 0};
 
 /** Probability that the preferred upstream of a prompt has its shared prefix cached although this host has no record of it. */
 const affinityHitProbability = 0.5;
@@ -85,7 +85,7 @@
 /** Estimates what the preferred upstream has cached, where `maxSharedTokens` is the most that any upstream is known to have. */
 const estimateAffinity = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): AffinityEstimate => {
 	const shared = prompt.parts.slice(0, -1).reduce((sum, {tokens}) => sum + tokens, 0);
-	return {preferred: getPromptHome(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
+	return {preferred: getPreferredUpstream(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
 };
 
 const getMedian = (values: readonly number[]): number | undefined => {
@@ -94,7 +94,7 @@
 };
 
 /** Returns the ratio of a mean duration to the median, within bounds; 1 if either is unknown. */
-const getSlowness = (duration: Milliseconds | undefined, median: Milliseconds | undefined): number => {
+const getRelativeLatency = (duration: Milliseconds | undefined, median: Milliseconds | undefined): number => {
 	if (duration === undefined || median === undefined || median === 0) {
 		return 1;
 	}
@@ -105,7 +105,7 @@
 /** Creates a tracker without state. */
 export const createUpstreamTracker = ({clock, logger, loads}: UpstreamTrackerOptions): UpstreamTracker => {
 	const states = new Map<UpstreamKey, UpstreamState>();
-	const isolations = new Map<string, Separation>();
+	const isolations = new Map<string, Reservation>();
 
 	const getState = (key: UpstreamKey): UpstreamState => {
 		const existing = states.get(key);
@@ -117,7 +117,7 @@
 			agent: new UpstreamAgent(),
 			nonIdempotentAgent: new UpstreamAgent({idleTimeout: idleTimeouts.short}),
 			cache: undefined,
-			prefillRate: createReadingSpeed(),
+			prefillRate: createPrefillRateEstimate(),
 			failures: createFailureRate(clock.monotonic()),
 			meanDuration: undefined,
 			avoidedUntil: 0,
@@ -146,17 +146,17 @@
 
 	/** Returns the upstreams that are set aside for latency-sensitive streams. */
 	const getIsolated = (service: string, upstreams: readonly Upstream[]): ReadonlySet<UpstreamKey> => {
-		const streams = upstreams.reduce((sum, upstream) => sum + loads.getTotal(getUpstreamKey(upstream)).delicate, 0);
-		const isolation = updateSeparation(isolations.get(service), streams, clock.monotonic());
+		const streams = upstreams.reduce((sum, upstream) => sum + loads.getTotalLoad(getUpstreamKey(upstream)).latencySensitiveStreams, 0);
+		const isolation = updateReservation(isolations.get(service), streams, clock.monotonic());
 		isolations.set(service, isolation);
-		return chooseQuietUpstreams(upstreams, isolation.count);
+		return chooseReservedUpstreams(upstreams, isolation.count);
 	};
 
 	return {
-		getReportedQueuedTokens: loads.getOwnAwaited,
+		getReportedQueuedTokens: loads.getOwnQueuedTokens,
 		getPrefillRate(upstreams) {
 			const rates = upstreams.map(upstream => getState(getUpstreamKey(upstream)).prefillRate.get());
-			return getMedian(rates) ?? defaultReadingSpeed;
+			return getMedian(rates) ?? defaultPrefillRate;
 		},
 		recordFirstToken(upstream, tokens, duration) {
 			getState(getUpstreamKey(upstream)).prefillRate.addSample(tokens, duration);
@@ -173,25 +173,25 @@
 			const usable = reachable.length === 0 ? upstreams : reachable;
 			const usableStates = usable.map(upstream => ({upstream, key: getUpstreamKey(upstream), state: getState(getUpstreamKey(upstream))}));
 			const median = getMedian(usableStates.map(({state}) => state.meanDuration).filter(duration => duration !== undefined));
-			const cachedTokens = usableStates.map(({key}) => prompt === undefined ? noCachedTokens : getCache(key, service.engine?.cacheTokens).getKept(prompt));
+			const cachedTokens = usableStates.map(({key}) => prompt === undefined ? noCachedTokens : getCache(key, service.engine?.cacheTokens).getCachedTokens(prompt));
 			const maxSharedTokens = Math.max(...cachedTokens.map(({shared}) => shared));
 			const isolated = getIsolated(service.name, upstreams);
 			const affinityCandidates = usable.filter(upstream => !isolated.has(getUpstreamKey(upstream)));
 			const affinity = prompt === undefined ? undefined : estimateAffinity(prompt, maxSharedTokens, affinityCandidates);
 			return usableStates.map(({upstream, key, state}, index) => {
-				const load = loads.getTotal(key);
+				const load = loads.getTotalLoad(key);
 				const {all, shared} = cachedTokens[index] ?? noCachedTokens;
 				return {
 					upstream,
 					load,
 					backlog: getBacklog(load, state.prefillRate.get(), now),
-					awaited: (load.awaitedTokens - loads.getOwnAwaited(key) + (queuedTokens?.get(key) ?? 0)) / state.prefillRate.get(),
+					queueDelay: (load.queuedTokens - loads.getOwnQueuedTokens(key) + (queuedTokens?.get(key) ?? 0)) / state.prefillRate.get(),
 					uncachedTokens: Math.max(0, (prompt?.inputTokens ?? 0) - all),
 					rereadTokens: maxSharedTokens - shared + (affinity === undefined || affinity.preferred === key ? 0 : affinity.tokens),
-					readingSpeed: state.prefillRate.get(),
-					isQuiet: isolated.has(key),
-					failureShare: getFailureShare(state.failures, now),
-					slowness: getSlowness(state.meanDuration, median),
+					prefillRate: state.prefillRate.get(),
+					isReserved: isolated.has(key),
+					failureRatio: getFailureRatio(state.failures, now),
+					relativeLatency: getRelativeLatency(state.meanDuration, median),
 				};
 			});
 		},
@@ -232,7 +232,7 @@
 		remove(key) {
 			const state = states.get(key);
 			states.delete(key);
-			loads.dropUpstream(key);
+			loads.removeUpstream(key);
 			// Connections with a request in flight close after its answer.
 			state?.agent.retire();
 			state?.nonIdempotentAgent.retire();
--- a/packages/policy/src/choose-upstream.ts
+++ b/packages/policy/src/choose-upstream.ts
@@ -1,6 +1,6 @@
 import type {Random} from '@gentianlift/clock';
 import type {Ticket, UpstreamId, Zone} from '@gentianlift/types';
-import {type GroupUpstream, hasNeeds} from './groups.js';
+import {type GroupUpstream, canProvide} from './groups.js';
 
 /** An upstream that may receive a ticket, with the state that determines its cost. */
 export type Candidate = {
@@ -28,7 +28,7 @@
 	/** Whether stragglers are avoided. */
 	useSpeed: boolean;
 	/** Size of the random sample from which the best candidate is chosen; all candidates if undefined. Those with a cached prefix are always included. */
-	drawn?: number;
+	sampleSize?: number;
 };
 
 /** Relative speed below which an upstream is a straggler. */
@@ -41,17 +41,17 @@
 const prefillRolePenalty = 2;
 
 /** Returns the candidates with a free slot that may run the ticket. */
-export const getFitting = (candidates: readonly Candidate[], ticket: Ticket): Candidate[] => candidates.filter(candidate =>
+export const getEligible = (candidates: readonly Candidate[], ticket: Ticket): Candidate[] => candidates.filter(candidate =>
 	candidate.available
 	&& candidate.load < candidate.slots
-	&& hasNeeds(candidate.upstream, ticket.needs)
+	&& canProvide(candidate.upstream, ticket.needs)
 	&& !ticket.avoid.includes(candidate.upstream.id)
 	&& !(ticket.isolated && candidate.hasSuspect));
 
 /** Chooses the upstream with the lowest cost for a ticket, ties broken at random; undefined if no eligible one has a free slot. */
 export const chooseUpstream = (candidates: readonly Candidate[], ticket: Ticket, random: Random, options: ChoiceOptions): UpstreamId | undefined => {
-	const eligible = getFitting(candidates, ticket);
-	const sample = options.drawn === undefined ? eligible : getSample(eligible, ticket, random, options.drawn);
+	const eligible = getEligible(candidates, ticket);
+	const sample = options.sampleSize === undefined ? eligible : getSample(eligible, ticket, random, options.sampleSize);
 	let best: Candidate | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	for (const candidate of sample) {
--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -13,7 +13,7 @@
 export const createEstimate = (mean: number): Estimate => ({mean, deviation: mean / 4, samples: 0});
 
 /** Adds a sample; the first samples have a higher weight, so that they soon replace the assumed mean. */
-export const applySample = (estimate: Estimate, value: number): Estimate => {
+export const addSample = (estimate: Estimate, value: number): Estimate => {
 	const samples = estimate.samples + 1;
 	const weight = Math.max(minSampleWeight, 1 / (samples + 1));
 	const error = value - estimate.mean;
@@ -25,7 +25,7 @@
 };
 
 /** Returns an upper estimate, below which most samples lie. */
-export const getCautious = (estimate: Estimate): number => estimate.mean + (upperDeviations * estimate.deviation);
+export const getUpperEstimate = (estimate: Estimate): number => estimate.mean + (upperDeviations * estimate.deviation);
 
 /** Processing times of an engine. */
 export type EngineTimings = {
@@ -47,11 +47,11 @@
 	nextFree: Milliseconds;
 	slots: number;
 	/** Fraction of the slots that is available to the request's tier, above 0 and up to 1. */
-	share: number;
+	slotFraction: number;
 };
 
 /** Returns the expected waiting time for a slot. */
-export const getWait = ({ahead, nextFree, slots, share: slotFraction}: QueueState): Milliseconds =>
+export const getExpectedWait = ({ahead, nextFree, slots, slotFraction}: QueueState): Milliseconds =>
 	nextFree + (ahead / Math.max(1, slots * slotFraction));
 
 /** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
--- a/packages/policy/src/floors.ts
+++ b/packages/policy/src/floors.ts
@@ -21,7 +21,7 @@
 export type FloorDebts = ReadonlyMap<Rank, number>;
 
 /** Updates the debts after `elapsed` time. Debts grow only for tiers with waiting tickets. */
-export const applyFloorTime = (debts: FloorDebts, demands: readonly FloorDemand[], slots: number, elapsed: Milliseconds): FloorDebts =>
+export const updateFloorDebts = (debts: FloorDebts, demands: readonly FloorDemand[], slots: number, elapsed: Milliseconds): FloorDebts =>
 	new Map(demands.map(demand => [demand.rank, updateDebt(debts.get(demand.rank) ?? 0, demand, slots, elapsed)]));
 
 /**
--- a/packages/policy/src/groups.ts
+++ b/packages/policy/src/groups.ts
@@ -45,10 +45,10 @@
 
 /** Returns the groups with at least one upstream that can provide all needs. */
 export const getGroupsFor = (groups: readonly Group[], needs: readonly string[]): Group[] =>
-	groups.filter(group => group.upstreams.some(upstream => hasNeeds(upstream, needs)));
+	groups.filter(group => group.upstreams.some(upstream => canProvide(upstream, needs)));
 
 /** Returns whether an upstream can provide all needs. */
-export const hasNeeds = (upstream: GroupUpstream, needs: readonly string[]): boolean =>
+export const canProvide = (upstream: GroupUpstream, needs: readonly string[]): boolean =>
 	needs.every(need => upstream.provides.has(need));
 
 /** Returns the name of a model in a list of needs. */
--- a/packages/policy/src/order.test.ts
+++ b/packages/policy/src/order.test.ts
@@ -2,8 +2,8 @@
 import {expect, test} from 'vitest';
 import type {Ticket} from '@gentianlift/types';
 import {
-	applyFloorTime, applyService, applyTurn, compareWaiting, createShares, type FloorDebts, type FloorDemand, getFirst, getFloorsDue, getFloorSlots,
-	getLeads, getServiceOrder, getVirtualTime, type Precedence, type Waiting,
+	updateFloorDebts, chargeService, advanceVirtualTime, compareQueued, createFairShares, type FloorDebts, type FloorDemand, findFirst, getFloorsDue, getFloorSlots,
+	getLeads, getServiceOrder, getVirtualTime, type Precedence, type QueuedTicket,
 } from './index.js';
 
 const createTicket = (change: Partial<Ticket>): Ticket => ({
@@ -12,7 +12,7 @@
 });
 
 const ticketsArbitrary = fc.array(fc.record({rank: fc.nat(3), customer: fc.constantFrom('a', 'b', 'c'), deadline: fc.nat(100)}), {minLength: 1, maxLength: 20})
-	.map(items => items.map(({rank, customer, deadline}, sequence): Waiting => ({
+	.map(items => items.map(({rank, customer, deadline}, sequence): QueuedTicket => ({
 		ticket: createTicket({request: `r${sequence}`, rank, customer}), deadline, since: 0, sequence,
 	})));
 
@@ -21,7 +21,7 @@
 
 test('serves the highest rank first unless the floor of a lower one is due', () => {
 	fc.assert(fc.property(ticketsArbitrary, precedenceArbitrary, (tickets, precedence) => {
-		const first = getFirst(tickets, precedence, () => true)!;
+		const first = findFirst(tickets, precedence, () => true)!;
 		const higher = tickets.filter(({ticket}) => ticket.rank < first.ticket.rank);
 		expect(higher.length === 0 || precedence.floorsDue.includes(first.ticket.rank)).toBe(true);
 	}), {seed: 1});
@@ -31,9 +31,9 @@
 	fc.assert(fc.property(ticketsArbitrary, precedenceArbitrary, (tickets, precedence) => {
 		const order = getServiceOrder(tickets, precedence, () => 1);
 		expect(new Set(order)).toEqual(new Set(tickets));
-		expect(order[0]).toBe(getFirst(tickets, precedence, () => true));
+		expect(order[0]).toBe(findFirst(tickets, precedence, () => true));
 		for (const item of tickets) {
-			expect(compareWaiting(item, order[0]!, precedence)).toBeGreaterThanOrEqual(0);
+			expect(compareQueued(item, order[0]!, precedence)).toBeGreaterThanOrEqual(0);
 		}
 	}), {seed: 1});
 });
@@ -56,7 +56,7 @@
 		const getDemands = (): FloorDemand[] => floors.map((floor, rank) => ({
 			rank, floor: rank === 0 ? 0 : floor, running: running[rank]!.length, waiting: true,
 		}));
-		debts = applyFloorTime(debts, getDemands(), slots, 100);
+		debts = updateFloorDebts(debts, getDemands(), slots, 100);
 		for (const [rank, ends] of running.entries()) {
 			running[rank] = ends.filter(end => end > now);
 		}
@@ -98,7 +98,7 @@
 		const demand: FloorDemand = {
 			rank: 1, floor: 0.1, running: 0, waiting,
 		};
-		const debts = applyFloorTime(new Map(), [demand], 10, waiting ? elapsed : elapsed * 100);
+		const debts = updateFloorDebts(new Map(), [demand], 10, waiting ? elapsed : elapsed * 100);
 		expect(getFloorsDue(debts, [demand], 10)).toEqual([]);
 	}), {seed: 1});
 });
@@ -107,15 +107,15 @@
 	fc.assert(fc.property(
 		fc.array(fc.record({weight: fc.integer({min: 1, max: 5}), cost: fc.integer({min: 50, max: 3000})}), {minLength: 2, maxLength: 5}),
 		items => {
-			const shares = createShares();
+			const shares = createFairShares();
 			const service = items.map(() => 0);
 			const customers = items.map((_, index) => String(index));
 			for (let turn = 0; turn < 4000; turn++) {
 				const leads = getLeads(shares, 0, new Set(customers));
 				const customer = customers.toSorted((first, second) => leads.get(first)! - leads.get(second)!)[0]!;
 				const {weight, cost} = items[Number(customer)]!;
-				applyTurn(shares, 0, customer);
-				applyService(shares, 0, {customer, weight, service: cost});
+				advanceVirtualTime(shares, 0, customer);
+				chargeService(shares, 0, {customer, weight, service: cost});
 				service[Number(customer)]! += cost;
 			}
 
@@ -126,10 +126,10 @@
 });
 
 test('an idle customer accumulates no credit', () => {
-	const shares = createShares();
+	const shares = createFairShares();
 	for (let turn = 0; turn < 100; turn++) {
-		applyTurn(shares, 0, 'busy');
-		applyService(shares, 0, {customer: 'busy', weight: 1, service: 1000});
+		advanceVirtualTime(shares, 0, 'busy');
+		chargeService(shares, 0, {customer: 'busy', weight: 1, service: 1000});
 	}
 
 	expect(getVirtualTime(shares, 0, 'back')).toBeGreaterThan(98_000);
--- a/packages/policy/src/order.ts
+++ b/packages/policy/src/order.ts
@@ -3,7 +3,7 @@
 } from '@gentianlift/types';
 
 /** A ticket that is queued at the owner of its group. */
-export type Waiting = {
+export type QueuedTicket = {
 	ticket: Ticket;
 	/** When its target is missed, on the owner's monotonic clock. */
 	deadline: Milliseconds;
@@ -22,18 +22,18 @@
 };
 
 /** Compares two queued tickets by due floors, then rank, then the customers' fair shares, then deadline, then arrival. */
-export const compareWaiting = (first: Waiting, second: Waiting, precedence: Precedence): number =>
+export const compareQueued = (first: QueuedTicket, second: QueuedTicket, precedence: Precedence): number =>
 	compareOrderKeys(getOrderKey(first, precedence, 0), getOrderKey(second, precedence, 0));
 
-type OrderKey<Item extends Waiting> = {item: Item; floorPosition: number; lead: number};
+type OrderKey<Item extends QueuedTicket> = {item: Item; floorPosition: number; lead: number};
 
-const getOrderKey = <Item extends Waiting>(item: Item, {floorsDue, getLead}: Precedence, extraSteps: number): OrderKey<Item> => ({
+const getOrderKey = <Item extends QueuedTicket>(item: Item, {floorsDue, getLead}: Precedence, extraSteps: number): OrderKey<Item> => ({
 	item,
 	floorPosition: floorsDue.includes(item.ticket.rank) ? floorsDue.indexOf(item.ticket.rank) : floorsDue.length,
 	lead: Math.floor(getLead(item.ticket.rank, item.ticket.customer) + extraSteps),
 });
 
-const compareOrderKeys = (first: OrderKey<Waiting>, second: OrderKey<Waiting>): number =>
+const compareOrderKeys = (first: OrderKey<QueuedTicket>, second: OrderKey<QueuedTicket>): number =>
 	first.floorPosition - second.floorPosition
 	|| first.item.ticket.rank - second.item.ticket.rank
 	|| first.lead - second.lead
@@ -45,9 +45,9 @@
  * `getSteps` returns the service of a ticket divided by its customer's weight, in steps; it adds to the lead with which
  * the customer's later tickets are ordered.
  */
-export const getServiceOrder = <Item extends Waiting>(tickets: readonly Item[], precedence: Precedence, getSteps: (item: Item) => number): Item[] => {
+export const getServiceOrder = <Item extends QueuedTicket>(tickets: readonly Item[], precedence: Precedence, getSteps: (item: Item) => number): Item[] => {
 	const stepsByCustomer = new Map<string, number>();
-	const orderKeys = tickets.toSorted((first, second) => compareWaiting(first, second, precedence)).map(item => {
+	const orderKeys = tickets.toSorted((first, second) => compareQueued(first, second, precedence)).map(item => {
 		const key = `${item.ticket.rank}/${item.ticket.customer}`;
 		const stepsBefore = stepsByCustomer.get(key) ?? 0;
 		stepsByCustomer.set(key, stepsBefore + getSteps(item));
@@ -57,10 +57,10 @@
 };
 
 /** Returns the first in order of the tickets for which `passes` is true. */
-export const getFirst = (tickets: Iterable<Waiting>, precedence: Precedence, passes: (ticket: Ticket) => boolean): Waiting | undefined => {
-	let first: Waiting | undefined;
+export const findFirst = (tickets: Iterable<QueuedTicket>, precedence: Precedence, passes: (ticket: Ticket) => boolean): QueuedTicket | undefined => {
+	let first: QueuedTicket | undefined;
 	for (const item of tickets) {
-		const isEarlier = first === undefined || compareWaiting(item, first, precedence) < 0;
+		const isEarlier = first === undefined || compareQueued(item, first, precedence) < 0;
 		if (isEarlier && passes(item.ticket)) {
 			first = item;
 		}
--- a/packages/policy/src/policy.test.ts
+++ b/packages/policy/src/policy.test.ts
@@ -5,8 +5,8 @@
 	Configuration, Customer, RequestClass, Ticket, Work,
 } from '@gentianlift/types';
 import {
-	applyCrash, applyFinish, applySample, type Candidate, chooseUpstream, classifyRequest, createEstimate, decideRetry, type IncomingRequest, type FailedAttempt, getBackoff,
-	getCautious, getFingerprint, getGroups, getLoad, getPrefixDigests, getSuspectStanding, getTargetsAt, maxGroupSize, isTransferFaster, type Suspects,
+	addCrash, removeSuspect, addSample, type Candidate, chooseUpstream, classifyRequest, createEstimate, decideRetry, type IncomingRequest, type FailedAttempt, getBackoff,
+	getUpperEstimate, getFingerprint, getGroups, getLoad, getPrefixDigests, getSuspectStatus, getTargetsAt, maxGroupSize, isTransferFaster, type Suspects,
 } from './index.js';
 
 const customer: Customer = {
@@ -93,12 +93,12 @@
 });
 
 test('a request is guilty after two crashes and cleared when it finishes', () => {
-	let suspects: Suspects = applyCrash(new Map(), 'e0', ['guilty', 'innocent', 'guilty'], 0);
-	expect(getSuspectStanding(suspects, 'guilty', 1)).toBe('suspected');
-	suspects = applyFinish(suspects, 'innocent');
-	suspects = applyCrash(suspects, 'e1', ['guilty'], 10);
-	expect(['guilty', 'innocent'].map(name => getSuspectStanding(suspects, name, 20))).toEqual(['guilty', 'clear']);
-	expect(getSuspectStanding(suspects, 'guilty', 10_000_000)).toBe('clear');
+	let suspects: Suspects = addCrash(new Map(), 'e0', ['guilty', 'innocent', 'guilty'], 0);
+	expect(getSuspectStatus(suspects, 'guilty', 1)).toBe('suspected');
+	suspects = removeSuspect(suspects, 'innocent');
+	suspects = addCrash(suspects, 'e1', ['guilty'], 10);
+	expect(['guilty', 'innocent'].map(name => getSuspectStatus(suspects, name, 20))).toEqual(['guilty', 'clear']);
+	expect(getSuspectStatus(suspects, 'guilty', 10_000_000)).toBe('clear');
 });
 
 test('the fingerprint ignores case and white space', () => {
@@ -151,12 +151,12 @@
 test('estimates converge to the samples', () => {
 	let estimate = createEstimate(1000);
 	for (let index = 0; index < 100; index++) {
-		estimate = applySample(estimate, index % 2 === 0 ? 80 : 120);
+		estimate = addSample(estimate, index % 2 === 0 ? 80 : 120);
 	}
 
 	expect(estimate.mean).toBeGreaterThan(90);
 	expect(estimate.mean).toBeLessThan(110);
-	expect(getCautious(estimate)).toBeGreaterThan(110);
+	expect(getUpperEstimate(estimate)).toBeGreaterThan(110);
 });
 
 test('transfers the cache of a long prefix and recomputes a short one', () => {
--- a/packages/policy/src/suspects.ts
+++ b/packages/policy/src/suspects.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds, UpstreamId} from '@gentianlift/types';
 
 /** Number of crashes after which a request is considered their cause. */
-export const guiltyCrashes = 2;
+export const minGuiltyCrashes = 2;
 
 /** Time after its last crash for which a fingerprint is kept. */
 export const suspectLifetime: Milliseconds = 1_800_000;
@@ -24,17 +24,17 @@
 export type SuspectStatus = 'clear' | 'suspected' | 'guilty';
 
 /** Returns how requests with the fingerprint are treated. */
-export const getSuspectStanding = (suspects: Suspects, fingerprint: string, now: Milliseconds): SuspectStatus => {
+export const getSuspectStatus = (suspects: Suspects, fingerprint: string, now: Milliseconds): SuspectStatus => {
 	const suspect = suspects.get(fingerprint);
 	if (suspect === undefined || suspect.expiresAt <= now) {
 		return 'clear';
 	}
 
-	return suspect.crashes.length >= guiltyCrashes ? 'guilty' : 'suspected';
+	return suspect.crashes.length >= minGuiltyCrashes ? 'guilty' : 'suspected';
 };
 
 /** Records that an upstream crashed while it ran requests with the fingerprints; returns the new suspects. */
-export const applyCrash = (suspects: Suspects, upstream: UpstreamId, fingerprints: readonly string[], now: Milliseconds): Suspects => {
+export const addCrash = (suspects: Suspects, upstream: UpstreamId, fingerprints: readonly string[], now: Milliseconds): Suspects => {
 	const next = new Map([...suspects].filter(([, suspect]) => suspect.expiresAt > now));
 	for (const fingerprint of new Set(fingerprints)) {
 		const crashes = [...next.get(fingerprint)?.crashes ?? [], upstream];
@@ -46,7 +46,7 @@
 };
 
 /** Removes a fingerprint whose request finished while isolated; returns the new suspects. */
-export const applyFinish = (suspects: Suspects, fingerprint: string): Suspects => {
+export const removeSuspect = (suspects: Suspects, fingerprint: string): Suspects => {
 	if (!suspects.has(fingerprint)) {
 		return suspects;
 	}
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -1,4 +1,4 @@
-import type {AskOptions, Grant} from '@gentianlift/scheduler';
+import type {GrantOptions, GrantOutcome} from '@gentianlift/scheduler';
 import type {
 	ClassifiedRequest, Milliseconds, RunState, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
@@ -15,7 +15,7 @@
 };
 
 /** Requests a grant for an upstream, and withdraws the request if `stopSignal` is aborted before the grant arrives. */
-export const acquireUpstream = async (context: HostContext, request: ClassifiedRequest, stopSignal: AbortSignal, options: AskOptions): Promise<Grant> => {
+export const acquireUpstream = async (context: HostContext, request: ClassifiedRequest, stopSignal: AbortSignal, options: GrantOptions): Promise<GrantOutcome> => {
 	if (stopSignal.aborted) {
 		return {kind: 'withdrawn'};
 	}
@@ -26,7 +26,7 @@
 
 	stopSignal.addEventListener('abort', withdraw, {once: true});
 	try {
-		return await context.grants.ask(request, options);
+		return await context.grants.requestGrant(request, options);
 	} finally {
 		stopSignal.removeEventListener('abort', withdraw);
 	}
@@ -53,7 +53,7 @@
 /** Releases the slot of an attempt and records its outcome in the account of the request and the health record of the upstream. */
 export const recordAttemptEnd = (context: HostContext, record: AttemptRecord): void => {
 	const {request, upstream, failure, tokens} = record;
-	context.grants.end({
+	context.grants.reportEnd({
 		request: request.id,
 		attempt: record.attempt,
 		kind: record.kind,
--- a/packages/router/src/dispatch/run-call.ts
+++ b/packages/router/src/dispatch/run-call.ts
@@ -2,7 +2,7 @@
 import type {OutgoingHttpHeaders} from 'node:http';
 import {createFailure, type RequestFailure} from '@gentianlift/errors';
 import {decideRetry} from '@gentianlift/policy';
-import type {Grant} from '@gentianlift/scheduler';
+import type {GrantOutcome} from '@gentianlift/scheduler';
 import type {ClassifiedRequest, RunState, UpstreamId} from '@gentianlift/types';
 import type {HostContext} from '../host-context.js';
 import {detectCrash, type FailedAttempt} from './failed-attempt.js';
@@ -76,7 +76,7 @@
 	}
 };
 
-const runAttempt = async (context: HostContext, run: CallRun, progress: Progress, {upstream}: Extract<Grant, {kind: 'granted'}>): Promise<CallAttemptEnd> => {
+const runAttempt = async (context: HostContext, run: CallRun, progress: Progress, {upstream}: Extract<GrantOutcome, {kind: 'granted'}>): Promise<CallAttemptEnd> => {
 	const {request, method, path, headers, body, callerDisconnected, receiver} = run;
 	const startedAt = context.clock.monotonic();
 	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream});
@@ -106,7 +106,7 @@
 };
 
 /** Runs one attempt; returns the result of the call, or the progress from which it is retried. */
-const runAttemptAndDecide = async (context: HostContext, run: CallRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<CallResult | Progress> => {
+const runAttemptAndDecide = async (context: HostContext, run: CallRun, progress: Progress, grant: Extract<GrantOutcome, {kind: 'granted'}>): Promise<CallResult | Progress> => {
 	const end = await runAttempt(context, run, progress, grant);
 	const {upstream} = grant;
 	switch (end.kind) {
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -1,6 +1,6 @@
 import {createFailure, type RequestFailure} from '@gentianlift/errors';
-import {decideRetry, guiltyCrashes} from '@gentianlift/policy';
-import type {Grant} from '@gentianlift/scheduler';
+import {decideRetry, minGuiltyCrashes} from '@gentianlift/policy';
+import type {GrantOutcome} from '@gentianlift/scheduler';
 import type {
 	ClassifiedRequest, Milliseconds, RunState, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
@@ -67,7 +67,7 @@
 		return {kind: 'done', result: {kind: 'failed', failure: createFailure(failedAttempt.error, {ran: progress.ran, detail: failedAttempt.rejection}), tokens: progress.tokens}};
 	}
 
-	if (progress.crashes >= guiltyCrashes) {
+	if (progress.crashes >= minGuiltyCrashes) {
 		return {kind: 'done', result: {kind: 'failed', failure: createFailure('crashes-upstreams', {ran: progress.ran}), tokens: progress.tokens}};
 	}
 
@@ -117,7 +117,7 @@
 	}
 };
 
-const runAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, grant: Extract<Grant, {kind: 'granted'}>): Promise<Step> => {
+const runAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, grant: Extract<GrantOutcome, {kind: 'granted'}>): Promise<Step> => {
 	const {request} = run;
 	const startedAt = context.clock.monotonic();
 	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream: grant.upstream});
--- a/packages/router/src/host/peer-handlers.ts
+++ b/packages/router/src/host/peer-handlers.ts
@@ -17,7 +17,7 @@
 export const createPeerHandlers = ({scheduling, claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
 	exchangeGrants: async (from, message) => scheduling.groupOwner.handle(from, message),
 	async pushGrants(_from, message) {
-		scheduling.grants.receive(message);
+		scheduling.grants.applyDecisions(message);
 		return {received: true};
 	},
 	exchangeQuota: async (from, message) => scheduling.quotaOwner.handle(from, message),
--- a/packages/router/src/host/scheduling.ts
+++ b/packages/router/src/host/scheduling.ts
@@ -3,7 +3,7 @@
 import {getGroups, type Group} from '@gentianlift/policy';
 import {
 	createGrantClient, createGroupOwner, createQuotaClient, createQuotaOwner, createRetryBudgets, getLimits, mechanisms,
-	type GrantClient, type GroupOwner, type Limit, type Mechanism, type QuotaClient, type QuotaOwner,
+	type GrantClient, type GroupOwner, type QuotaLimit, type Mechanism, type QuotaClient, type QuotaOwner,
 } from '@gentianlift/scheduler';
 import type {
 	ConfigurationVersion, HostId, Incarnation, PeerCalls, Settings,
@@ -37,9 +37,9 @@
 const getMechanisms = (names: readonly string[]): Mechanism[] => mechanisms.filter(name => names.includes(name));
 
 const createGrantPush = (self: HostId, peers: PeerCalls, metrics: Metrics, getGrants: () => GrantClient) =>
-	(host: HostId, answer: Parameters<GrantClient['receive']>[0]): void => {
+	(host: HostId, answer: Parameters<GrantClient['applyDecisions']>[0]): void => {
 		if (host === self) {
-			getGrants().receive(answer);
+			getGrants().applyDecisions(answer);
 			return;
 		}
 
@@ -54,14 +54,14 @@
 	// Scheduler mechanisms that the settings disable.
 	const without = getMechanisms(settings.without);
 	let groups: readonly Group[] = [];
-	let limits: ReadonlyMap<string, Limit> = new Map();
+	let limits: ReadonlyMap<string, QuotaLimit> = new Map();
 	let currentVersion: ConfigurationVersion | undefined;
 	const sharedOptions = {
 		clock, random, metrics, self, peers, getHosts: fleet.getHosts, getOwnerOf: fleet.getOwnerOf, getLimits: () => limits,
 	};
-	const groupOwner = createGroupOwner({...sharedOptions, without, push: createGrantPush(self, peers, metrics, () => grants)});
+	const groupOwner = createGroupOwner({...sharedOptions, disabledMechanisms: without, push: createGrantPush(self, peers, metrics, () => grants)});
 	const grants: GrantClient = createGrantClient({
-		...sharedOptions, incarnation, without, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
+		...sharedOptions, incarnation, disabledMechanisms: without, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
 	});
 	const quotaOwner = createQuotaOwner(sharedOptions);
 	const quota = createQuotaClient({...sharedOptions, getLocalOwner: () => quotaOwner});
--- a/packages/router/src/host/suspect-gossip.test.ts
+++ b/packages/router/src/host/suspect-gossip.test.ts
@@ -30,7 +30,7 @@
 			},
 			groupOwner: {
 				getSuspects: () => suspects,
-				applySuspects(others) {
+				mergeSuspects(others) {
 					suspects = new Map([...suspects, ...others]);
 				},
 			},
--- a/packages/router/src/host/suspect-gossip.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -9,7 +9,7 @@
 	clock: Clock;
 	self: HostId;
 	membership: Pick<Membership, 'onNote' | 'publishNote'>;
-	groupOwner: Pick<GroupOwner, 'applySuspects' | 'getSuspects'>;
+	groupOwner: Pick<GroupOwner, 'mergeSuspects' | 'getSuspects'>;
 };
 
 const publishInterval: Milliseconds = 500;
@@ -51,7 +51,7 @@
 	const cancelListener = membership.onNote(note => {
 		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
 			knownCrashCounts.set(note.key, note.value.split(crashSeparator).length);
-			groupOwner.applySuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
+			groupOwner.mergeSuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
 		}
 	});
 	return () => {
--- a/packages/router/src/limits.ts
+++ b/packages/router/src/limits.ts
@@ -1,6 +1,6 @@
 import type {ErrorKind} from '@gentianlift/errors';
 import {
-	getConcurrencyLimit, getRequestLimit, getTokenLimit, type QuotaClient, type RetryBudgets,
+	getConcurrencyLimitName, getRequestLimitName, getTokenLimitName, type QuotaClient, type RetryBudgets,
 } from '@gentianlift/scheduler';
 import type {
 	ClassifiedRequest, Configuration, Customer, Milliseconds,
@@ -37,9 +37,9 @@
 /** Creates the limits of customers and the retry budgets of classes. Tokens are counted when a request ends, so a customer may exceed its token rate by the responses in flight. */
 export const createLimits = ({quota, budgets, getConfiguration}: LimitsOptions): Limits => ({
 	async acquire(customer, request) {
-		const requests = getRequestLimit(customer.id);
-		const concurrency = getConcurrencyLimit(customer.id);
-		const tokens = getTokenLimit(customer.id);
+		const requests = getRequestLimitName(customer.id);
+		const concurrency = getConcurrencyLimitName(customer.id);
+		const tokens = getTokenLimitName(customer.id);
 		const decision = await quota.acquire([
 			{limit: requests, amount: 1},
 			{limit: concurrency, amount: 1},
@@ -50,12 +50,12 @@
 		}
 
 		const requestClass = getConfiguration()?.rules.classes.find(({name}) => name === request.className);
-		budgets.applyRequest(request.className, requestClass?.retryShare ?? 0);
+		budgets.recordRequest(request.className, requestClass?.retryShare ?? 0);
 		return {
 			kind: 'taken',
 			release(usedTokens) {
 				quota.release(concurrency, 1);
-				quota.use(tokens, usedTokens);
+				quota.recordUse(tokens, usedTokens);
 			},
 		};
 	},
--- a/packages/routing/src/choose-upstream.ts
+++ b/packages/routing/src/choose-upstream.ts
@@ -9,9 +9,9 @@
 	/** Prompt tokens to prefill of requests in flight that have not returned their first token. */
 	unreadTokens: number;
 	/** Number of latency-sensitive streams among the requests in flight. */
-	delicate: number;
+	latencySensitiveStreams: number;
 	/** Prompt tokens of requests that are queued at the hosts for this upstream. */
-	awaitedTokens: number;
+	queuedTokens: number;
 	/** When the upstream was last observed to start or finish a prefill. */
 	progressAt: Milliseconds;
 };
@@ -23,19 +23,19 @@
 	/** Time until it has prefilled the prompts that were sent to it. */
 	backlog: Milliseconds;
 	/** Time that it needs to prefill the prompts which are queued for it ahead of this one. */
-	awaited: Milliseconds;
+	queueDelay: Milliseconds;
 	/** Prompt tokens that it has to prefill, as it has not cached them. */
 	uncachedTokens: number;
 	/** Of these, tokens of shared parts that another candidate has cached. */
 	rereadTokens: number;
 	/** Prompt tokens that it prefills per millisecond. */
-	readingSpeed: number;
+	prefillRate: number;
 	/** Whether it is reserved for latency-sensitive streams. */
-	isQuiet: boolean;
+	isReserved: boolean;
 	/** Recent fraction of failures among its results, from 0 to 1. */
-	failureShare: number;
+	failureRatio: number;
 	/** Response time in relation to the median of the candidates; 1 is the median. */
-	slowness: number;
+	relativeLatency: number;
 };
 
 /** Properties of the request that determine the cost of a candidate. */
@@ -45,7 +45,7 @@
 	/** Whether the request lists the parts of its prompt. */
 	hasPrompt: boolean;
 	/** Whether the request is a latency-sensitive stream. */
-	isDelicate: boolean;
+	isLatencySensitive: boolean;
 	/** Remaining time until the target for the first token is missed. */
 	slack: Milliseconds;
 };
@@ -75,9 +75,9 @@
 const failureSlotCost = 20;
 
 /** Returns the cost of interference between a long prefill and latency-sensitive streams, whichever of them the request is. */
-const getInterferenceCost = ({isQuiet: isReserved, load, backlog, uncachedTokens, readingSpeed: prefillRate}: Candidate, {isDelicate: isLatencySensitive}: Placement): Milliseconds => {
+const getInterferenceCost = ({isReserved, load, backlog, uncachedTokens, prefillRate}: Candidate, {isLatencySensitive}: Placement): Milliseconds => {
 	const isInterfering = (backlog * prefillRate) + uncachedTokens > maxHarmlessPrefillTokens;
-	const interferenceCost = isInterfering ? load.delicate * interferenceCostPerStream : 0;
+	const interferenceCost = isInterfering ? load.latencySensitiveStreams * interferenceCostPerStream : 0;
 	if (isLatencySensitive) {
 		return Math.min(interferenceCost, reservedUpstreamPenalty) + (isReserved ? 0 : unreservedUpstreamPenalty);
 	}
@@ -87,7 +87,7 @@
 
 const getGenerationCost = (candidate: Candidate, placement: Placement): number => {
 	const {
-		upstream, load, backlog, awaited: queueDelay, uncachedTokens, rereadTokens, readingSpeed: prefillRate, failureShare: failureRatio,
+		upstream, load, backlog, queueDelay, uncachedTokens, rereadTokens, prefillRate, failureRatio,
 	} = candidate;
 	const timeToFirstToken = backlog + queueDelay + (uncachedTokens / prefillRate);
 	const redundantPrefill = redundantPrefillFactor * rereadTokens / prefillRate;
@@ -97,7 +97,7 @@
 		+ (load.running * runningRequestCost) + (failureRatio * failureCost) + getInterferenceCost(candidate, placement);
 };
 
-const getCallCost = ({upstream, load, failureShare: failureRatio, slowness: relativeLatency}: Candidate, {zone}: Placement): number => {
+const getCallCost = ({upstream, load, failureRatio, relativeLatency}: Candidate, {zone}: Placement): number => {
 	const zonePenalty = upstream.zone === zone ? 0 : crossZoneSlotCost;
 	return ((load.running + 1) * relativeLatency) + zonePenalty + (failureRatio * failureSlotCost);
 };
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -23,13 +23,13 @@
 	/** Maximum time from a request's arrival to the end of its response. */
 	timeout: Milliseconds;
 	/** Target for the time from arrival to the response, or to the first event of a stream. */
-	target: Milliseconds;
+	latencyTarget: Milliseconds;
 	/** Target for the longest interval between two events of a stream. */
-	pauseTarget?: Milliseconds;
+	itlTarget?: Milliseconds;
 	/** Default priority of the requests; 0 is the highest. */
 	rank: Rank;
 	/** Maximum number of upstreams that may execute one request. */
-	mostUpstreams: number;
+	maxUpstreams: number;
 	destinations: Destination[];
 };
 
@@ -37,21 +37,21 @@
 export type Service = {
 	name: string;
 	/** Maximum number of connections to one upstream from all hosts together. */
-	mostConnections: number;
+	maxConnections: number;
 	/** Present for model engines: concurrent requests and prompt cache of one upstream, and output tokens per streamed event. */
-	engine?: {slots: number; cacheTokens: number; tokensForEvent: number};
+	engine?: {slots: number; cacheTokens: number; tokensPerEvent: number};
 };
 
 /** Limits on the size of callers' requests and on the time they take to arrive. */
 export type CallerLimits = {
-	mostHeaderBytes: number;
-	mostBodyBytes: number;
+	maxHeaderBytes: number;
+	maxBodyBytes: number;
 	headerTimeout: Milliseconds;
 	idleTimeout: Milliseconds;
 };
 
 /** A customer with its API keys; its rank, if present, overrides that of the route. */
-export type KeyHolder = {name: CustomerId; keys: string[]; rank?: Rank};
+export type CustomerKeys = {name: CustomerId; keys: string[]; rank?: Rank};
 
 /** A version of the operators' configuration. Version numbers only increase. */
 export type RoutingConfiguration = {
@@ -60,9 +60,9 @@
 	services: Service[];
 	limits: CallerLimits;
 	/** Absent if requests need no API keys. */
-	customers?: KeyHolder[];
+	customers?: CustomerKeys[];
 };
 
 /** Returns whether a request of the route may execute more than once. */
-export const isRepeatable = (route: Route): boolean =>
+export const isRetryable = (route: Route): boolean =>
 	route.kind === 'idempotent' || (route.kind === 'streaming' && route.isResumable);
--- a/packages/routing/src/failure-rate.ts
+++ b/packages/routing/src/failure-rate.ts
@@ -24,7 +24,7 @@
 };
 
 /** Returns the fraction of failures among the results, from 0 to 1. */
-export const getFailureShare = (rate: FailureRate, now: Milliseconds): number => {
+export const getFailureRatio = (rate: FailureRate, now: Milliseconds): number => {
 	const {failures, results} = decay(rate, now);
 	return failures / (results + priorResults);
 };
--- a/packages/routing/src/preferred-upstream.ts
+++ b/packages/routing/src/preferred-upstream.ts
@@ -7,7 +7,7 @@
  * rendezvous hashing. All hosts choose the same one, also after a restart of the host or the upstream, so cached parts are
  * found again that no host has a record of. Undefined if the prompt has no shared parts.
  */
-export const getPromptHome = (prompt: Prompt, upstreams: readonly Upstream[]): UpstreamKey | undefined => {
+export const getPreferredUpstream = (prompt: Prompt, upstreams: readonly Upstream[]): UpstreamKey | undefined => {
 	const shared = prompt.parts.at(-2)?.id;
 	if (shared === undefined) {
 		return undefined;
--- a/packages/routing/src/prefill-rate.ts
+++ b/packages/routing/src/prefill-rate.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Estimate of an upstream's prefill rate from the observed times to the first token. */
-export type ReadingSpeed = {
+export type PrefillRateEstimate = {
 	/** Records that the first token came after `duration`, with `tokens` prompt tokens to prefill before it. */
 	addSample: (tokens: number, duration: Milliseconds) => void;
 	/** Returns the estimated rate in tokens per millisecond. */
@@ -9,7 +9,7 @@
 };
 
 /** Rate that is assumed before the first sample, in tokens per millisecond. */
-export const defaultReadingSpeed = 40;
+export const defaultPrefillRate = 40;
 /** Minimum tokens of a sample; with fewer, the time to generate the first token itself distorts the rate. */
 const minSampleTokens = 4000;
 /** Weight of the newest sample in the exponential moving average. */
@@ -18,8 +18,8 @@
 const rateBounds = {min: 4, max: 400};
 
 /** Creates an estimate without samples. */
-export const createReadingSpeed = (): ReadingSpeed => {
-	let rate = defaultReadingSpeed;
+export const createPrefillRateEstimate = (): PrefillRateEstimate => {
+	let rate = defaultPrefillRate;
 	return {
 		addSample(tokens, duration) {
 			if (tokens < minSampleTokens || duration <= 0) {
--- a/packages/routing/src/prompt-cache.ts
+++ b/packages/routing/src/prompt-cache.ts
@@ -4,14 +4,14 @@
 const usableFraction = 0.8;
 
 /** Cached tokens at the beginning of a prompt: all of them, and those in parts that other requests share. */
-export type KeptTokens = {all: number; shared: number};
+export type CachedTokens = {all: number; shared: number};
 
 /** Model of an upstream's prompt cache, with eviction of the least recently used parts. */
 export type PromptCache = {
 	/** Adds the parts of a prompt that the upstream prefills. */
 	add: (prompt: Pick<Prompt, 'model' | 'parts'>) => void;
 	/** Returns how many tokens at the beginning of the prompt are cached, and how many of these belong to shared parts. */
-	getKept: (prompt: Prompt) => KeptTokens;
+	getCachedTokens: (prompt: Prompt) => CachedTokens;
 	/** Returns whether the part is cached. */
 	has: (model: string, part: string) => boolean;
 };
@@ -71,7 +71,7 @@
 
 			evictOldest();
 		},
-		getKept(prompt) {
+		getCachedTokens(prompt) {
 			const {parts} = prompt;
 			const firstMissing = getPartKeys(prompt).findIndex(key => !cachedParts.has(key));
 			const leading = firstMissing === -1 ? parts : parts.slice(0, firstMissing);
--- a/packages/routing/src/queue-order.ts
+++ b/packages/routing/src/queue-order.ts
@@ -17,7 +17,7 @@
  * Compares queued requests: by rank, then those that can still meet their target before late ones, then by due time.
  * Late requests come last within their rank, as further waiting costs them no more.
  */
-export const compareWaiting = (one: QueuedRequest, other: QueuedRequest): number => {
+export const compareQueued = (one: QueuedRequest, other: QueuedRequest): number => {
 	if (one.rank !== other.rank) {
 		return one.rank - other.rank;
 	}
@@ -35,5 +35,5 @@
  */
 export const getBacklogLimit = (routes: readonly Route[], service: string, rank: Rank): Milliseconds => {
 	const higherRanked = routes.filter(route => route.rank < rank && route.destinations.some(destination => destination.service === service));
-	return maxBacklogFraction * Math.min(...higherRanked.map(({target}) => target));
+	return maxBacklogFraction * Math.min(...higherRanked.map(({latencyTarget: target}) => target));
 };
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 
 /** Limit on the retries of all hosts together within a sliding window. */
-export type RetryBound = {
+export type RetryLimit = {
 	/** Retries that each request adds to the budget. */
 	ratio: number;
 	/** Retries that are allowed in a window whatever the number of requests. */
@@ -25,7 +25,7 @@
 type Slice = {start: Milliseconds; requests: number; retries: number};
 
 /** Creates one host's budget for a service. Later changes of `limit` take effect at the next call. */
-export const createRetryBudget = (limit: Readonly<RetryBound>): RetryBudget => {
+export const createRetryBudget = (limit: Readonly<RetryLimit>): RetryBudget => {
 	const slices: Slice[] = [];
 
 	const getSlice = (now: Milliseconds): Slice => {
--- a/packages/routing/src/retry.test.ts
+++ b/packages/routing/src/retry.test.ts
@@ -1,36 +1,36 @@
 import {expect, test} from 'vitest';
-import {isRepeatable} from './configuration.js';
+import {isRetryable} from './configuration.js';
 import {createCrashSuspects} from './crash-suspects.js';
-import {addResult, createFailureRate, getFailureShare} from './failure-rate.js';
-import {decideResend, maxAttempts, type FailedAttempt} from './retry.js';
+import {addResult, createFailureRate, getFailureRatio} from './failure-rate.js';
+import {decideRetry, maxAttempts, type FailedAttempt} from './retry.js';
 import {createRetryBudget} from './retry-budget.js';
 import {buildRoute} from './testing.js';
 
 const attempt: FailedAttempt = {
-	isNotRun: false, isRepeatable: true, upstreamsRun: 1, mostUpstreams: 2, sends: 1, timeLeft: 500,
+	isNotExecuted: false, isRetryable: true, possibleExecutions: 1, maxUpstreams: 2, attempts: 1, remainingTime: 500,
 };
 
 test('only idempotent requests and resumable streams are retryable', () => {
-	expect(isRepeatable(buildRoute({kind: 'idempotent'}))).toBe(true);
-	expect(isRepeatable(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
-	expect(isRepeatable(buildRoute({kind: 'streaming'}))).toBe(false);
-	expect(isRepeatable(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
+	expect(isRetryable(buildRoute({kind: 'idempotent'}))).toBe(true);
+	expect(isRetryable(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
+	expect(isRetryable(buildRoute({kind: 'streaming'}))).toBe(false);
+	expect(isRetryable(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
 });
 
 test('a request that may have executed is not retried unless it is retryable', () => {
-	expect(decideResend({...attempt, isRepeatable: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
-	expect(decideResend({...attempt, isRepeatable: false, isNotRun: true})).toEqual({kind: 'resend'});
-	expect(decideResend(attempt)).toEqual({kind: 'resend'});
+	expect(decideRetry({...attempt, isRetryable: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
+	expect(decideRetry({...attempt, isRetryable: false, isNotExecuted: true})).toEqual({kind: 'resend'});
+	expect(decideRetry(attempt)).toEqual({kind: 'resend'});
 });
 
 test('a request executes on no more upstreams than its route allows', () => {
-	expect(decideResend({...attempt, upstreamsRun: 2})).toEqual({kind: 'stop', reason: 'upstreams'});
-	expect(decideResend({...attempt, upstreamsRun: 2, isNotRun: true})).toEqual({kind: 'resend'});
+	expect(decideRetry({...attempt, possibleExecutions: 2})).toEqual({kind: 'stop', reason: 'upstreams'});
+	expect(decideRetry({...attempt, possibleExecutions: 2, isNotExecuted: true})).toEqual({kind: 'resend'});
 });
 
 test('attempts stop at their maximum number and when the remaining time is too short', () => {
-	expect(decideResend({...attempt, isNotRun: true, sends: maxAttempts})).toEqual({kind: 'stop', reason: 'sends'});
-	expect(decideResend({...attempt, timeLeft: 5})).toEqual({kind: 'stop', reason: 'deadline'});
+	expect(decideRetry({...attempt, isNotExecuted: true, attempts: maxAttempts})).toEqual({kind: 'stop', reason: 'sends'});
+	expect(decideRetry({...attempt, remainingTime: 5})).toEqual({kind: 'stop', reason: 'deadline'});
 });
 
 test('all hosts together stay within the retry limit in each window', () => {
@@ -82,8 +82,8 @@
 		rate = addResult(rate, true, 0);
 	}
 
-	const recentRatio = getFailureShare(rate, 0);
+	const recentRatio = getFailureRatio(rate, 0);
 	expect(recentRatio).toBeGreaterThan(0.8);
-	expect(getFailureShare(rate, 30_000)).toBeLessThan(recentRatio / 10);
-	expect(getFailureShare(addResult(createFailureRate(0), true, 0), 0)).toBeLessThan(0.3);
+	expect(getFailureRatio(rate, 30_000)).toBeLessThan(recentRatio / 10);
+	expect(getFailureRatio(addResult(createFailureRate(0), true, 0), 0)).toBeLessThan(0.3);
 });
--- a/packages/routing/src/retry.ts
+++ b/packages/routing/src/retry.ts
@@ -3,17 +3,17 @@
 /** How an attempt on an upstream failed, and what limits another one. */
 export type FailedAttempt = {
 	/** Whether the upstream is known not to have executed the request. */
-	isNotRun: boolean;
+	isNotExecuted: boolean;
 	/** Whether the request may execute more than once. */
-	isRepeatable: boolean;
+	isRetryable: boolean;
 	/** Number of upstreams that may have executed the request so far, including this one. */
-	upstreamsRun: number;
+	possibleExecutions: number;
 	/** Maximum number of upstreams that may execute the request. */
-	mostUpstreams: number;
+	maxUpstreams: number;
 	/** Number of attempts so far. */
-	sends: number;
+	attempts: number;
 	/** Time until the request's timeout. */
-	timeLeft: Milliseconds;
+	remainingTime: Milliseconds;
 };
 
 /** Whether to retry on another upstream; if not, the reason, which is also counted in metrics. */
@@ -28,18 +28,18 @@
 const minRemainingTime: Milliseconds = 20;
 
 /** Decides whether a failed request may be retried on another upstream. Callers check the retry budget afterwards, as checking it takes from it. */
-export const decideResend = (attempt: FailedAttempt): RetryDecision => {
-	if (!attempt.isNotRun && !attempt.isRepeatable) {
+export const decideRetry = (attempt: FailedAttempt): RetryDecision => {
+	if (!attempt.isNotExecuted && !attempt.isRetryable) {
 		return {kind: 'stop', reason: 'may-have-run'};
 	}
 
-	if (!attempt.isNotRun && attempt.upstreamsRun >= attempt.mostUpstreams) {
+	if (!attempt.isNotExecuted && attempt.possibleExecutions >= attempt.maxUpstreams) {
 		return {kind: 'stop', reason: 'upstreams'};
 	}
 
-	if (attempt.sends >= maxAttempts) {
+	if (attempt.attempts >= maxAttempts) {
 		return {kind: 'stop', reason: 'sends'};
 	}
 
-	return attempt.timeLeft < minRemainingTime ? {kind: 'stop', reason: 'deadline'} : {kind: 'resend'};
+	return attempt.remainingTime < minRemainingTime ? {kind: 'stop', reason: 'deadline'} : {kind: 'resend'};
 };
--- a/packages/routing/src/route-table.test.ts
+++ b/packages/routing/src/route-table.test.ts
@@ -1,7 +1,7 @@
 import {createRandom} from '@gentianlift/clock';
 import {expect, test} from 'vitest';
 import {
-	buildRouteTable, drawDestination, findCaller, findRoute, getHostname,
+	buildRouteTable, pickDestination, findCaller, findRoute, getHostname,
 } from './route-table.js';
 import {buildConfiguration, buildRoute} from './testing.js';
 
@@ -44,7 +44,7 @@
 test('destinations are chosen in proportion to their weight', () => {
 	const random = createRandom(1);
 	const destinations = [{service: 'x', weight: 90}, {service: 'y', weight: 10}, {service: 'z', weight: 0}];
-	const picked = Array.from({length: 1000}, () => drawDestination(destinations, random)?.service);
+	const picked = Array.from({length: 1000}, () => pickDestination(destinations, random)?.service);
 	const ratio = picked.filter(service => service === 'y').length / picked.length;
 	expect(ratio).toBeGreaterThan(0.07);
 	expect(ratio).toBeLessThan(0.13);
@@ -52,5 +52,5 @@
 });
 
 test('no destination is chosen if no weight is above 0', () => {
-	expect(drawDestination([{service: 'x', weight: 0}], createRandom(1))).toBeUndefined();
+	expect(pickDestination([{service: 'x', weight: 0}], createRandom(1))).toBeUndefined();
 });
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -1,6 +1,6 @@
 import type {Random} from '@gentianlift/clock';
 import type {
-	Destination, KeyHolder, Route, RoutingConfiguration, Service,
+	Destination, CustomerKeys, Route, RoutingConfiguration, Service,
 } from './configuration.js';
 
 /** A configuration with indexes for lookups. */
@@ -9,13 +9,13 @@
 	/** Routes by host name, those with the longest path prefix first. */
 	routes: ReadonlyMap<string, readonly Route[]>;
 	/** Customers by API key. */
-	customers: ReadonlyMap<string, KeyHolder>;
+	customers: ReadonlyMap<string, CustomerKeys>;
 	/** Services by name. */
 	services: ReadonlyMap<string, Service>;
 };
 
 /** Sender of a request; `unknown` if the route requires an API key and the request has no valid one. */
-export type CallerIdentity = {kind: 'anonymous'} | {kind: 'customer'; customer: KeyHolder} | {kind: 'unknown'};
+export type CallerIdentity = {kind: 'anonymous'} | {kind: 'customer'; customer: CustomerKeys} | {kind: 'unknown'};
 
 const groupRoutes = (routes: readonly Route[]): Map<string, Route[]> => {
 	const groups = new Map<string, Route[]>();
@@ -65,7 +65,7 @@
 };
 
 /** Chooses a destination at random in proportion to the weights; undefined if no weight is above 0. */
-export const drawDestination = (destinations: readonly Destination[], random: Random): Destination | undefined => {
+export const pickDestination = (destinations: readonly Destination[], random: Random): Destination | undefined => {
 	const totalWeight = destinations.reduce((sum, {weight}) => sum + weight, 0);
 	let remainingWeight = random.next() * totalWeight;
 	for (const destination of destinations) {
--- a/packages/routing/src/stream-isolation.ts
+++ b/packages/routing/src/stream-isolation.ts
@@ -18,23 +18,23 @@
  * Returns whether the prefill of a long prompt makes concurrent streams of the route exceed their target for the
  * inter-token latency: an event takes several engine steps, and each of them also prefills a chunk of the prompt.
  */
-export const isDelicateRoute = (route: Route, service: Service | undefined, prefillRate: number): boolean => {
-	if (route.pauseTarget === undefined || service?.engine === undefined) {
+export const isLatencySensitiveRoute = (route: Route, service: Service | undefined, prefillRate: number): boolean => {
+	if (route.itlTarget === undefined || service?.engine === undefined) {
 		return false;
 	}
 
-	const interTokenLatency = service.engine.tokensForEvent * ((prefillTokensPerStep / prefillRate) + decodeStepDuration);
-	return interTokenLatency > route.pauseTarget * (1 - networkMargin);
+	const interTokenLatency = service.engine.tokensPerEvent * ((prefillTokensPerStep / prefillRate) + decodeStepDuration);
+	return interTokenLatency > route.itlTarget * (1 - networkMargin);
 };
 
 /** Number of a service's upstreams that are reserved for latency-sensitive streams, and when that many were last needed. */
-export type Separation = {count: number; neededAt: Milliseconds};
+export type Reservation = {count: number; neededAt: Milliseconds};
 
 /** Time for which an upstream that is no longer needed stays reserved; reserving it again forces other upstreams to repeat the prefill of its prompts. */
 const reservationHold: Milliseconds = 10_000;
 
 /** Updates the number of reserved upstreams: it rises at once and falls by one at a time. */
-export const updateSeparation = (previous: Separation | undefined, latencySensitiveStreams: number, now: Milliseconds): Separation => {
+export const updateReservation = (previous: Reservation | undefined, latencySensitiveStreams: number, now: Milliseconds): Reservation => {
 	const needed = Math.ceil(latencySensitiveStreams / streamsPerReservedUpstream);
 	if (previous === undefined || needed >= previous.count) {
 		return {count: needed, neededAt: now};
@@ -58,7 +58,7 @@
 };
 
 /** Chooses the upstreams that are reserved for latency-sensitive streams and avoided by long prefills. All hosts choose the same ones for the same count. */
-export const chooseQuietUpstreams = (upstreams: readonly Upstream[], count: number): ReadonlySet<UpstreamKey> => {
+export const chooseReservedUpstreams = (upstreams: readonly Upstream[], count: number): ReadonlySet<UpstreamKey> => {
 	const reservedCount = Math.min(Math.floor(upstreams.length * maxReservedFraction), count);
 	if (reservedCount === 0) {
 		return new Set();
--- a/packages/routing/src/testing.ts
+++ b/packages/routing/src/testing.ts
@@ -12,9 +12,9 @@
 	isPublic: false,
 	hasPrompt: false,
 	timeout: 1000,
-	target: 500,
+	latencyTarget: 500,
 	rank: 1,
-	mostUpstreams: 2,
+	maxUpstreams: 2,
 	destinations: [{service: 's', weight: 1}],
 	...changes,
 });
@@ -23,9 +23,9 @@
 export const buildConfiguration = (changes: Partial<RoutingConfiguration> = {}): RoutingConfiguration => ({
 	version: 1,
 	routes: [buildRoute()],
-	services: [{name: 's', mostConnections: 100}],
+	services: [{name: 's', maxConnections: 100}],
 	limits: {
-		mostHeaderBytes: 16_384, mostBodyBytes: 1_000_000, headerTimeout: 3000, idleTimeout: 15_000,
+		maxHeaderBytes: 16_384, maxBodyBytes: 1_000_000, headerTimeout: 3000, idleTimeout: 15_000,
 	},
 	...changes,
 });
@@ -37,7 +37,7 @@
 
 /** Builds an upstream's load for tests. */
 export const buildLoad = (changes: Partial<UpstreamLoad> = {}): UpstreamLoad => ({
-	running: 0, unreadTokens: 0, delicate: 0, awaitedTokens: 0, progressAt: 0, ...changes,
+	running: 0, unreadTokens: 0, latencySensitiveStreams: 0, queuedTokens: 0, progressAt: 0, ...changes,
 });
 
 /** Builds a candidate for tests. */
@@ -45,12 +45,12 @@
 	upstream: buildUpstream(),
 	load: buildLoad(),
 	backlog: 0,
-	awaited: 0,
+	queueDelay: 0,
 	uncachedTokens: 1000,
 	rereadTokens: 0,
-	readingSpeed: 40,
-	isQuiet: false,
-	failureShare: 0,
-	slowness: 1,
+	prefillRate: 40,
+	isReserved: false,
+	failureRatio: 0,
+	relativeLatency: 1,
 	...changes,
 });
--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -5,7 +5,7 @@
 import {type Baseline, createBaseline} from './baseline.js';
 import {createTicket} from './tickets.js';
 import type {
-	AskOptions, Grant, GrantClient, GrantClientOptions,
+	GrantOptions, GrantOutcome, GrantClient, GrantClientOptions,
 } from './types.js';
 
 /** Milliseconds after which a refused request may be retried. */
@@ -22,7 +22,7 @@
 		this.#baseline = createBaseline(order, options.random);
 	}
 
-	readonly ask = async (request: ClassifiedRequest, options: AskOptions = {}): Promise<Grant> => {
+	readonly requestGrant = async (request: ClassifiedRequest, options: GrantOptions = {}): Promise<GrantOutcome> => {
 		const ticket = createTicket(request, options, this.#options.clock.now());
 		const groups = getGroupsFor(this.#options.getGroups(), ticket.needs);
 		const upstream = this.#baseline.choose(groups, ticket);
@@ -36,7 +36,7 @@
 		};
 	};
 
-	readonly end = ({request}: TicketEnd): void => {
+	readonly reportEnd = ({request}: TicketEnd): void => {
 		const upstream = this.#running.get(request);
 		this.#running.delete(request);
 		if (upstream !== undefined) {
@@ -48,7 +48,7 @@
 		// Requests never wait.
 	};
 
-	readonly receive = (): void => {
+	readonly applyDecisions = (): void => {
 		// No owner pushes decisions, since none was asked for a grant.
 	};
 
--- a/packages/scheduler/src/client/baseline.ts
+++ b/packages/scheduler/src/client/baseline.ts
@@ -1,5 +1,5 @@
 import type {Random} from '@gentianlift/clock';
-import {type Group, type GroupUpstream, hasNeeds} from '@gentianlift/policy';
+import {type Group, type GroupUpstream, canProvide} from '@gentianlift/policy';
 import type {Settings, Ticket, UpstreamId} from '@gentianlift/types';
 
 /** Load balancing by one host on its own, without queue or coordination, as a baseline for comparison. */
@@ -32,7 +32,7 @@
 	return {
 		choose(groups, ticket) {
 			const upstreams = groups.flatMap(group => group.upstreams);
-			const fitting = upstreams.filter(upstream => hasNeeds(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id));
+			const fitting = upstreams.filter(upstream => canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id));
 			const id = selectUpstream(fitting);
 			if (id !== undefined) {
 				outstanding.set(id, (outstanding.get(id) ?? 0) + 1);
--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -48,7 +48,7 @@
 	}
 
 	#getOwner({group}: GroupSession): HostId | undefined {
-		const {without, getOwnerOf} = this.#options;
+		const {disabledMechanisms: without, getOwnerOf} = this.#options;
 		return without?.includes('grants') === true ? undefined : getOwnerOf(group);
 	}
 
--- a/packages/scheduler/src/client/index.ts
+++ b/packages/scheduler/src/client/index.ts
@@ -1,4 +1,4 @@
 export * from './create-grant-client.js';
 export type {
-	AskOptions, Grant, GrantClient, GrantClientOptions,
+	GrantOptions, GrantOutcome, GrantClient, GrantClientOptions,
 } from './types.js';
--- a/packages/scheduler/src/client/policy-client.ts
+++ b/packages/scheduler/src/client/policy-client.ts
@@ -8,7 +8,7 @@
 import {createSession, hasUnsent, isIdle} from './session.js';
 import {createTicket, createWithdrawal, roundEnd} from './tickets.js';
 import type {
-	AskOptions, Grant, GrantClient, GrantClientOptions, GroupSession, HeldRequest,
+	GrantOptions, GrantOutcome, GrantClient, GrantClientOptions, GroupSession, HeldRequest,
 } from './types.js';
 
 /** Interval at which overdue requests are shed and sessions are checked for messages to send. */
@@ -36,7 +36,7 @@
 	constructor(options: GrantClientOptions) {
 		this.#options = options;
 		this.#exchange = new Exchange(options, answer => {
-			this.receive(answer);
+			this.applyDecisions(answer);
 		});
 		const {every} = options.clock;
 		this.#cancel = every(tickInterval, () => {
@@ -44,7 +44,7 @@
 		});
 	}
 
-	readonly ask = async (request: ClassifiedRequest, options: AskOptions = {}): Promise<Grant> => {
+	readonly requestGrant = async (request: ClassifiedRequest, options: GrantOptions = {}): Promise<GrantOutcome> => {
 		const {clock} = this.#options;
 		const ticket = createTicket(request, options, clock.now());
 		const bytes = options.bytes ?? 0;
@@ -67,7 +67,7 @@
 		});
 	};
 
-	readonly end = (end: TicketEnd): void => {
+	readonly reportEnd = (end: TicketEnd): void => {
 		const held = this.#heldRequests.get(end.request);
 		if (held?.ticket.attempt === end.attempt && held.upstream !== undefined) {
 			this.#remove(held);
@@ -83,7 +83,7 @@
 		}
 	};
 
-	readonly receive = (answer: GrantAnswer): void => {
+	readonly applyDecisions = (answer: GrantAnswer): void => {
 		for (const decision of answer.decisions) {
 			this.#applyDecision(answer.group, decision);
 		}
@@ -95,7 +95,7 @@
 		this.#cancel();
 	};
 
-	#createRefusal(reason: 'queue-full' | 'no-upstream'): Grant {
+	#createRefusal(reason: 'queue-full' | 'no-upstream'): GrantOutcome {
 		this.#options.metrics.count('host_sheds', {reason});
 		return {kind: 'shed', reason, retryAfter: defaultRetryAfter};
 	}
@@ -155,7 +155,7 @@
 	}
 
 	/** Resolves a waiting request with its grant, and removes it unless it was granted a slot. */
-	#resolveWaiting(held: HeldRequest, grant: Grant): void {
+	#resolveWaiting(held: HeldRequest, grant: GrantOutcome): void {
 		this.#waiting--;
 		this.#bytes -= held.bytes;
 		if (grant.kind === 'granted') {
@@ -255,7 +255,7 @@
 
 	/** Sheds requests that have no decision of the owner when the grace period after their deadline is over. */
 	#shedOverdue(now: Milliseconds): void {
-		if (this.#options.without?.includes('admission') === true) {
+		if (this.#options.disabledMechanisms?.includes('admission') === true) {
 			return;
 		}
 
--- a/packages/scheduler/src/client/tickets.ts
+++ b/packages/scheduler/src/client/tickets.ts
@@ -2,13 +2,13 @@
 import type {
 	ClassifiedRequest, HeldTicket, Milliseconds, Ticket, TicketEnd,
 } from '@gentianlift/types';
-import type {AskOptions, HeldRequest} from './types.js';
+import type {GrantOptions, HeldRequest} from './types.js';
 
 /** Maximum number of prefix digests in a ticket; those of the longest prefixes are sent. */
 const maxPrefixDigests = 4;
 
 /** Creates the ticket of a request. */
-export const createTicket = (request: ClassifiedRequest, options: AskOptions, now: Milliseconds): Ticket => {
+export const createTicket = (request: ClassifiedRequest, options: GrantOptions, now: Milliseconds): Ticket => {
 	const ticket: Ticket = {
 		request: request.id,
 		attempt: options.attempt ?? 1,
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -7,7 +7,7 @@
 import type {GroupOwner, Mechanism} from '../owner/index.js';
 
 /** The answer to a request for an upstream slot. */
-export type Grant
+export type GrantOutcome
 	= | {
 		kind: 'granted';
 		upstream: UpstreamId;
@@ -21,7 +21,7 @@
 	| {kind: 'withdrawn'};
 
 /** Options of one attempt to get a slot for a request. */
-export type AskOptions = {
+export type GrantOptions = {
 	/** Number of the attempt, which rises by one each time the request asks for a slot again; 1 if absent. */
 	attempt?: number;
 	/** Upstreams that the request must not be sent to again. */
@@ -53,19 +53,19 @@
 	/** Order in which requests get slots; `policy` if absent, the others are baselines for comparison. */
 	order?: Settings['order'];
 	/** Mechanisms that are switched off. */
-	without?: readonly Mechanism[];
+	disabledMechanisms?: readonly Mechanism[];
 };
 
 /** Requests upstream slots from the owners of groups. */
 export type GrantClient = {
 	/** Requests a slot; resolves once the request is granted one, shed or withdrawn. */
-	ask: (request: ClassifiedRequest, options?: AskOptions) => Promise<Grant>;
+	requestGrant: (request: ClassifiedRequest, options?: GrantOptions) => Promise<GrantOutcome>;
 	/** Reports how an attempt that was granted a slot ended, and frees the slot. */
-	end: (end: TicketEnd) => void;
+	reportEnd: (end: TicketEnd) => void;
 	/** Withdraws a waiting request, for example when its caller has disconnected. */
 	withdraw: (request: RequestId) => void;
 	/** Applies the decisions that an owner has pushed. */
-	receive: (answer: GrantAnswer) => void;
+	applyDecisions: (answer: GrantAnswer) => void;
 	/** Returns the numbers of waiting and running requests, and the memory in bytes that the waiting ones take up. */
 	getCounts: () => {waiting: number; running: number; bytes: number};
 	stop: () => void;
@@ -86,7 +86,7 @@
 	/** True once the request has been moved to a second group. */
 	hasMoved: boolean;
 	/** Resolves the promise that the caller waits for. */
-	resolve: (grant: Grant) => void;
+	resolve: (grant: GrantOutcome) => void;
 	/** Aborts the yield signal of the grant. */
 	yieldController: AbortController;
 };
--- a/packages/scheduler/src/grants.test.ts
+++ b/packages/scheduler/src/grants.test.ts
@@ -23,11 +23,11 @@
 	const low = recordGrant(a, createTestRequest(fleet, 'low', {rank: 1}));
 	const high = recordGrant(b, createTestRequest(fleet, 'high'));
 	await fleet.clock.advance(20);
-	a.client.end(getEnd('first'));
+	a.client.reportEnd(getEnd('first'));
 	await fleet.clock.advance(20);
 	expect(high.grant?.kind).toBe('granted');
 	expect(low.grant).toBeUndefined();
-	b.client.end(getEnd('high'));
+	b.client.reportEnd(getEnd('high'));
 	await fleet.clock.advance(20);
 	expect(low.grant?.kind).toBe('granted');
 });
@@ -42,7 +42,7 @@
 	await fleet.clock.advance(3000);
 	expect(getRunningCount(b)).toBe(1);
 	expect(waiting.grant).toBeUndefined();
-	b.client.end(getEnd('running'));
+	b.client.reportEnd(getEnd('running'));
 	await fleet.clock.advance(20);
 	expect(waiting.grant?.kind).toBe('granted');
 	expect(a.client.getCounts().running).toBe(0);
@@ -83,7 +83,7 @@
 	const second = recordGrant(b, createTestRequest(fleet, 'second'));
 	await fleet.clock.advance(50);
 	fleet.network.lossProbability = 1;
-	a.client.end(getEnd('first'));
+	a.client.reportEnd(getEnd('first'));
 	await fleet.clock.advance(50);
 	expect(second.grant).toBeUndefined();
 	fleet.network.lossProbability = 0;
@@ -100,7 +100,7 @@
 	b.client.withdraw('gone');
 	const next = recordGrant(b, createTestRequest(fleet, 'next'));
 	await fleet.clock.advance(20);
-	a.client.end(getEnd('first'));
+	a.client.reportEnd(getEnd('first'));
 	await fleet.clock.advance(20);
 	expect(withdrawn.grant?.kind).toBe('withdrawn');
 	expect(next.grant?.kind).toBe('granted');
@@ -135,13 +135,13 @@
 	recordGrant(a, createTestRequest(fleet, 'innocent'));
 	await fleet.clock.advance(20);
 	for (const [request, attempt] of [['g1', 1], ['innocent', 1]] as const) {
-		a.client.end(getEnd(request, {attempt, kind: 'failed', crashed: true}));
+		a.client.reportEnd(getEnd(request, {attempt, kind: 'failed', crashed: true}));
 	}
 
 	const retry = recordGrant(a, createTestRequest(fleet, 'g2', crashing));
 	await fleet.clock.advance(10_000);
 	expect(retry.grant?.kind).toBe('granted');
-	a.client.end(getEnd('g2', {kind: 'failed', crashed: true}));
+	a.client.reportEnd(getEnd('g2', {kind: 'failed', crashed: true}));
 	const refused = recordGrant(a, createTestRequest(fleet, 'g3', crashing));
 	await fleet.clock.advance(50);
 	expect(refused.grant).toMatchObject({kind: 'shed', reason: 'crashes-upstreams'});
@@ -155,11 +155,11 @@
 	const crashing = {fingerprint: 'guilty', deadline: fleet.clock.now() + 60_000};
 	recordGrant(a, createTestRequest(fleet, 'first', crashing));
 	await fleet.clock.advance(1100);
-	a.client.end(getEnd('first', {kind: 'failed', crashed: true}));
+	a.client.reportEnd(getEnd('first', {kind: 'failed', crashed: true}));
 	const retries = ['r1', 'r2', 'r3'].map(id => recordGrant(a, createTestRequest(fleet, id, crashing)));
 	await fleet.clock.advance(50);
 	expect(retries.map(({grant}) => grant?.kind)).toEqual(['granted', undefined, undefined]);
-	a.client.end(getEnd('r1', {kind: 'failed', crashed: true}));
+	a.client.reportEnd(getEnd('r1', {kind: 'failed', crashed: true}));
 	await fleet.clock.advance(200);
 	expect(retries.slice(1).map(({grant}) => grant)).toMatchObject([{reason: 'crashes-upstreams'}, {reason: 'crashes-upstreams'}]);
 });
@@ -174,7 +174,7 @@
 
 test('methods of the client and the owner work detached from their objects', async () => {
 	const {fleet, a} = createPair([1]);
-	const {ask, end, getCounts} = a.client;
+	const {requestGrant: ask, reportEnd: end, getCounts} = a.client;
 	const {applyCacheEvents, getOverview} = a.owner;
 	applyCacheEvents('e0', [{sequence: 1, kind: 'stored', chunk: 'x'}]);
 	void ask(createTestRequest(fleet, 'first'));
--- a/packages/scheduler/src/owner/commands/account-time.ts
+++ b/packages/scheduler/src/owner/commands/account-time.ts
@@ -1,4 +1,4 @@
-import {applyFloorTime} from '@gentianlift/policy';
+import {updateFloorDebts} from '@gentianlift/policy';
 import type {Milliseconds} from '@gentianlift/types';
 import {getFloorDemands} from '../queries/precedence.js';
 import {getUsableSlots, type GroupState} from '../state.js';
@@ -17,7 +17,7 @@
 	const slots = getUsableSlots(state);
 	const demands = getFloorDemands(state);
 	const smoothing = 1 - Math.exp(-elapsed / utilizationWindow);
-	state.floorDebts = applyFloorTime(state.floorDebts, demands, slots, elapsed);
+	state.floorDebts = updateFloorDebts(state.floorDebts, demands, slots, elapsed);
 	state.rankUtilization = new Map(demands.map(({rank, running}) => {
 		const previous = state.rankUtilization.get(rank) ?? 0;
 		return [rank, previous + (smoothing * ((running / slots) - previous))];
--- a/packages/scheduler/src/owner/commands/crash.ts
+++ b/packages/scheduler/src/owner/commands/crash.ts
@@ -1,4 +1,4 @@
-import {applyCrash, applyFinish, getSuspectStanding} from '@gentianlift/policy';
+import {addCrash, removeSuspect, getSuspectStatus} from '@gentianlift/policy';
 import type {Milliseconds, TicketEnd, UpstreamId} from '@gentianlift/types';
 import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
 import {shed} from './entries.js';
@@ -16,8 +16,8 @@
 	const {fingerprint} = entry.ticket;
 	if (end.crashed === true) {
 		recordCrash(state, entry.state.upstream);
-	} else if (end.kind === 'finished' && getSuspectStanding(context.suspects, fingerprint, context.clock.now()) === 'suspected') {
-		context.suspects = applyFinish(context.suspects, fingerprint);
+	} else if (end.kind === 'finished' && getSuspectStatus(context.suspects, fingerprint, context.clock.now()) === 'suspected') {
+		context.suspects = removeSuspect(context.suspects, fingerprint);
 		context.metrics.count('suspects_cleared');
 	}
 };
@@ -36,7 +36,7 @@
 	const recentlyFailed = upstream.recentRuns.filter(run => run.failed && now - run.endedAt < crashWindow).map(run => run.fingerprint);
 	const running = [...upstream.running].map(entry => entry.ticket.fingerprint);
 	const newSuspects = [...recentlyFailed, ...running].filter(fingerprint => !knownSuspects.has(fingerprint));
-	state.context.suspects = applyCrash(state.context.suspects, id, newSuspects, clock.now());
+	state.context.suspects = addCrash(state.context.suspects, id, newSuspects, clock.now());
 	upstream.lastCrash = {at: isSameCrash ? upstream.lastCrash?.at ?? now : now, fingerprints: new Set([...knownSuspects, ...newSuspects])};
 	updateWaitingSuspects(state);
 	if (!isSameCrash) {
@@ -48,7 +48,7 @@
 const updateWaitingSuspects = (state: GroupState): void => {
 	const {suspects, clock} = state.context;
 	for (const entry of getWaitingEntries(state)) {
-		const standing = getSuspectStanding(suspects, entry.ticket.fingerprint, clock.now());
+		const standing = getSuspectStatus(suspects, entry.ticket.fingerprint, clock.now());
 		entry.ticket.isolated ||= standing === 'suspected';
 		if (standing === 'guilty') {
 			shed(state, entry, 'crashes-upstreams', 0);
--- a/packages/scheduler/src/owner/commands/entries.ts
+++ b/packages/scheduler/src/owner/commands/entries.ts
@@ -1,5 +1,5 @@
 import {
-	applyService, applyTurn, getSuspectStanding, hasNeeds,
+	chargeService, advanceVirtualTime, getSuspectStatus, canProvide,
 } from '@gentianlift/policy';
 import type {
 	Decision, HostId, ShedReason, Ticket, UpstreamId,
@@ -53,8 +53,8 @@
 	const {ticket} = entry;
 	countPriorityInversion(state, entry, upstream);
 	setRunning(state, entry, upstream);
-	applyTurn(state.fairShares, ticket.rank, ticket.customer);
-	applyService(state.fairShares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: getExpectedServiceTime(state, ticket)});
+	advanceVirtualTime(state.fairShares, ticket.rank, ticket.customer);
+	chargeService(state.fairShares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: getExpectedServiceTime(state, ticket)});
 	recordCachedPrefixes(state.upstreams.get(upstream), ticket.prefix);
 	addGrant(state, entry);
 	state.context.metrics.count('grants', {rank: String(ticket.rank)});
@@ -126,7 +126,7 @@
 const countPriorityInversion = (state: GroupState, {ticket}: Entry, id: UpstreamId): void => {
 	const upstream = state.upstreams.get(id)?.upstream;
 	const isPassedOver = ({ticket: other}: Entry): boolean =>
-		other.rank < ticket.rank && !other.isolated && !other.avoid.includes(id) && upstream !== undefined && hasNeeds(upstream, other.needs);
+		other.rank < ticket.rank && !other.isolated && !other.avoid.includes(id) && upstream !== undefined && canProvide(upstream, other.needs);
 	if (getWaitingEntries(state).some(other => isPassedOver(other))) {
 		const isFloorDue = getPrecedence(state, []).floorsDue.includes(ticket.rank);
 		state.context.metrics.count('grants_past_higher', {by: isFloorDue ? 'floor' : 'other'});
@@ -136,7 +136,7 @@
 const createEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): Entry => {
 	const {clock, suspects} = state.context;
 	const now = clock.monotonic();
-	const isSuspected = getSuspectStanding(suspects, ticket.fingerprint, clock.now()) !== 'clear';
+	const isSuspected = getSuspectStatus(suspects, ticket.fingerprint, clock.now()) !== 'clear';
 	return {
 		key: getEntryKey(ticket.request, ticket.attempt),
 		ticket: {...ticket, isolated: ticket.isolated || isSuspected},
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -1,4 +1,4 @@
-import {getSuspectStanding} from '@gentianlift/policy';
+import {getSuspectStatus} from '@gentianlift/policy';
 import type {
 	GrantRequest, HeldTicket, RequestId, Ticket, TicketEnd,
 } from '@gentianlift/types';
@@ -55,7 +55,7 @@
 	}
 
 	const {suspects, clock} = state.context;
-	if (getSuspectStanding(suspects, ticket.fingerprint, clock.now()) === 'guilty') {
+	if (getSuspectStatus(suspects, ticket.fingerprint, clock.now()) === 'guilty') {
 		refuseCrashingTicket(state, ticket, origin);
 		return;
 	}
--- a/packages/scheduler/src/owner/commands/preempt.ts
+++ b/packages/scheduler/src/owner/commands/preempt.ts
@@ -1,4 +1,4 @@
-import {type Candidate, hasNeeds} from '@gentianlift/policy';
+import {type Candidate, canProvide} from '@gentianlift/policy';
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import {getCandidates, hasFreeSlot} from '../queries/candidates.js';
 import {
@@ -68,7 +68,7 @@
 
 /** Returns the runs on upstreams that could serve the entry. */
 const getCompetingRuns = (state: GroupState, {ticket}: Entry): Entry[] => [...state.upstreams.values()]
-	.filter(({upstream, standing}) => standing === 'available' && hasNeeds(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
+	.filter(({upstream, standing}) => standing === 'available' && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
 	.flatMap(({running}) => [...running]);
 
 /** Whether a run may be preempted: it is idempotent and no service call, its rank has more than its floor, and it has yielded fewer than `maxYields` times. */
--- a/packages/scheduler/src/owner/commands/shed.ts
+++ b/packages/scheduler/src/owner/commands/shed.ts
@@ -1,8 +1,8 @@
-import {type Candidate, hasNeeds} from '@gentianlift/policy';
+import {type Candidate, canProvide} from '@gentianlift/policy';
 import type {Milliseconds, ShedReason, Ticket} from '@gentianlift/types';
 import {getCandidates} from '../queries/candidates.js';
 import {
-	getCapacityForecast, getConservativeTimeToTarget, getExpectedServiceTime, getExpectedWait, getTimeToTarget, hasEnoughSamples,
+	getCapacityForecast, getConservativeTimeToTarget, getExpectedServiceTime, getTicketWait, getTimeToTarget, hasEnoughSamples,
 } from '../queries/forecast.js';
 import {getExpectedWaits, getGrantOrder} from '../queries/grant-order.js';
 import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
@@ -65,7 +65,7 @@
 	const forecast = getCapacityForecast(state);
 	let serviceAhead = 0;
 	for (const entry of inOrder) {
-		const wait = getExpectedWait(forecast, entry.ticket.rank, serviceAhead);
+		const wait = getTicketWait(forecast, entry.ticket.rank, serviceAhead);
 		if (entry.ticket.rank === lowestRank && isUnreachable(state, entry, wait)) {
 			const isOutranked = inOrder[0] !== undefined && inOrder[0].ticket.rank < lowestRank;
 			shed(state, entry, isOutranked ? 'outranked' : 'deadline-unreachable', getRetryAfter(state, entry, wait));
@@ -97,7 +97,7 @@
 };
 
 const canServe = ({available, upstream}: Candidate, ticket: Ticket): boolean =>
-	available && hasNeeds(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id);
+	available && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id);
 
 /** Returns the time after which the same request, sent again, is expected to meet its target. */
 const getRetryAfter = (state: GroupState, entry: Entry, wait: Milliseconds): Milliseconds => {
--- a/packages/scheduler/src/owner/commands/update-estimates.ts
+++ b/packages/scheduler/src/owner/commands/update-estimates.ts
@@ -1,4 +1,4 @@
-import {applySample, applyService, createEstimate} from '@gentianlift/policy';
+import {addSample, chargeService, createEstimate} from '@gentianlift/policy';
 import type {Milliseconds, TicketEnd} from '@gentianlift/types';
 import {defaultTimePerOutputToken, getEstimates, getExpectedServiceTime} from '../queries/forecast.js';
 import type {Entry, GroupState} from '../state.js';
@@ -18,7 +18,7 @@
 
 	const {ticket} = entry;
 	const unaccountedService = end.duration - getExpectedServiceTime(state, ticket);
-	applyService(state.fairShares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: unaccountedService});
+	chargeService(state.fairShares, ticket.rank, {customer: ticket.customer, weight: ticket.weight, service: unaccountedService});
 	recordRecentRun(state, entry, end);
 	if (end.kind === 'finished' && ticket.resumed !== true) {
 		updateClassEstimates(state, entry, end);
@@ -46,9 +46,9 @@
 const updateClassEstimates = (state: GroupState, {ticket}: Entry, end: TicketEnd): void => {
 	const known = getEstimates(state, ticket);
 	state.estimates.set(ticket.className, {
-		outputTokens: applySample(known.outputTokens, end.tokens),
-		timeToFirstToken: end.firstTokenAfter === undefined ? known.timeToFirstToken : applySample(known.timeToFirstToken, end.firstTokenAfter),
-		duration: applySample(known.duration, end.duration),
+		outputTokens: addSample(known.outputTokens, end.tokens),
+		timeToFirstToken: end.firstTokenAfter === undefined ? known.timeToFirstToken : addSample(known.timeToFirstToken, end.firstTokenAfter),
+		duration: addSample(known.duration, end.duration),
 	});
 };
 
@@ -56,7 +56,7 @@
 	const upstream = entryState.kind === 'running' ? state.upstreams.get(entryState.upstream) : undefined;
 	if (upstream !== undefined && entryState.kind === 'running' && duration > 0) {
 		const ratio = (state.context.clock.monotonic() - entryState.startedAt) / duration;
-		upstream.slotHoldRatio = applySample(upstream.slotHoldRatio, Math.min(maxSlotHoldRatio, Math.max(1, ratio)));
+		upstream.slotHoldRatio = addSample(upstream.slotHoldRatio, Math.min(maxSlotHoldRatio, Math.max(1, ratio)));
 	}
 };
 
@@ -68,6 +68,6 @@
 	const upstream = state.upstreams.get(entry.state.upstream);
 	if (upstream !== undefined) {
 		const known = upstream.timePerOutputToken.samples === 0 ? createEstimate(defaultTimePerOutputToken) : upstream.timePerOutputToken;
-		upstream.timePerOutputToken = applySample(known, (end.duration - end.firstTokenAfter) / (end.tokens - 1));
+		upstream.timePerOutputToken = addSample(known, (end.duration - end.firstTokenAfter) / (end.tokens - 1));
 	}
 };
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -36,7 +36,7 @@
 	/** Sends decisions to a host, this one included. */
 	push: (host: HostId, answer: GrantAnswer) => void;
 	/** Mechanisms that are switched off. */
-	without?: readonly Mechanism[];
+	disabledMechanisms?: readonly Mechanism[];
 };
 
 /**
@@ -61,7 +61,7 @@
 	/** Returns the requests suspected of crashing upstreams, by fingerprint. */
 	getSuspects: () => Suspects;
 	/** Merges in the suspects that other hosts found. */
-	applySuspects: (suspects: Suspects) => void;
+	mergeSuspects: (suspects: Suspects) => void;
 	/** Returns the overviews of the groups that this host owns and has state of. */
 	getOverview: () => GroupOverview[];
 	stop: () => void;
@@ -147,7 +147,7 @@
 
 	readonly getSuspects = (): Suspects => this.#context.suspects;
 
-	readonly applySuspects = (suspects: Suspects): void => {
+	readonly mergeSuspects = (suspects: Suspects): void => {
 		this.#context.suspects = mergeSuspects(this.#context.suspects, suspects);
 	};
 
@@ -205,7 +205,7 @@
 	}
 }
 
-const createContext = ({clock, random, metrics, without, getHosts}: GroupOwnerOptions): OwnerContext => ({
+const createContext = ({clock, random, metrics, disabledMechanisms: without, getHosts}: GroupOwnerOptions): OwnerContext => ({
 	clock,
 	random,
 	metrics,
--- a/packages/scheduler/src/owner/create-group-state.ts
+++ b/packages/scheduler/src/owner/create-group-state.ts
@@ -1,5 +1,5 @@
 import PQueue from 'p-queue';
-import {createEstimate, createShares, type Group} from '@gentianlift/policy';
+import {createEstimate, createFairShares, type Group} from '@gentianlift/policy';
 import type {Milliseconds} from '@gentianlift/types';
 import {grantSlot} from './commands/entries.js';
 import {createQueueClass, type GrantQueue, type GrantQueueOptions} from './grant-queue.js';
@@ -26,7 +26,7 @@
 		upstreams: new Map(group.upstreams.map(upstream => [upstream.id, createUpstreamState(upstream)])),
 		entries: new Map(),
 		endedAttempts: new Map(),
-		fairShares: createShares(),
+		fairShares: createFairShares(),
 		floorDebts: new Map(),
 		rankUtilization: new Map(),
 		accountedUntil: now,
--- a/packages/scheduler/src/owner/queries/candidates.ts
+++ b/packages/scheduler/src/owner/queries/candidates.ts
@@ -1,5 +1,5 @@
 import {
-	type Candidate, getFitting, getLoad, stragglerSpeed,
+	type Candidate, getEligible, getLoad, stragglerSpeed,
 } from '@gentianlift/policy';
 import type {Milliseconds, Ticket} from '@gentianlift/types';
 import type {GroupState, UpstreamState} from '../state.js';
@@ -40,7 +40,7 @@
 
 /** Whether some upstream has a free slot for the ticket. */
 export const hasFreeSlot = (state: GroupState, candidates: readonly Candidate[], ticket: Ticket): boolean =>
-	getFitting(getLoadedCandidates(state, candidates, ticket), ticket).length > 0;
+	getEligible(getLoadedCandidates(state, candidates, ticket), ticket).length > 0;
 
 const isLoaded = (upstream: UpstreamState | undefined, ticket: Ticket): boolean => {
 	const report = upstream?.load?.report;
--- a/packages/scheduler/src/owner/queries/forecast.ts
+++ b/packages/scheduler/src/owner/queries/forecast.ts
@@ -1,5 +1,5 @@
 import {
-	createEstimate, getCautious, getWait,
+	createEstimate, getUpperEstimate, getExpectedWait,
 } from '@gentianlift/policy';
 import type {Milliseconds, Rank, Ticket} from '@gentianlift/types';
 import {
@@ -39,7 +39,7 @@
 /** Returns a time to target that most runs don't exceed. */
 export const getConservativeTimeToTarget = (state: GroupState, ticket: Ticket): Milliseconds => {
 	const {timeToFirstToken, duration} = getEstimates(state, ticket);
-	return getCautious(isServiceCall(ticket) ? duration : timeToFirstToken);
+	return getUpperEstimate(isServiceCall(ticket) ? duration : timeToFirstToken);
 };
 
 /** Whether the ticket is for an application service. */
@@ -75,9 +75,9 @@
 };
 
 /** Returns the expected wait of a ticket with the given service time queued ahead of it. */
-export const getExpectedWait = ({slots, timeToFreeSlot: nextFree, rankFractions}: CapacityForecast, rank: Rank, ahead: Milliseconds): Milliseconds =>
-	getWait({
-		ahead, nextFree, slots, share: rankFractions[rank] ?? 1,
+export const getTicketWait = ({slots, timeToFreeSlot: nextFree, rankFractions}: CapacityForecast, rank: Rank, ahead: Milliseconds): Milliseconds =>
+	getExpectedWait({
+		ahead, nextFree, slots, slotFraction: rankFractions[rank] ?? 1,
 	});
 
 const getTimeToFreeSlot = (state: GroupState, slots: number, now: Milliseconds): Milliseconds => {
--- a/packages/scheduler/src/owner/queries/grant-order.ts
+++ b/packages/scheduler/src/owner/queries/grant-order.ts
@@ -1,14 +1,14 @@
-import {getServiceOrder, shareStep} from '@gentianlift/policy';
+import {getServiceOrder, fairShareStep} from '@gentianlift/policy';
 import type {Milliseconds} from '@gentianlift/types';
 import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
 import {getPrecedence} from './precedence.js';
-import {getCapacityForecast, getExpectedServiceTime, getExpectedWait} from './forecast.js';
+import {getCapacityForecast, getExpectedServiceTime, getTicketWait} from './forecast.js';
 
 /** Returns the waiting entries of a group in the order in which they are expected to be granted slots. */
 export const getGrantOrder = (state: GroupState): Entry[] => {
 	const waiting = getWaitingEntries(state);
 	const precedence = getPrecedence(state, waiting);
-	const getSteps = ({ticket}: Entry): number => getExpectedServiceTime(state, ticket) / ticket.weight / shareStep;
+	const getSteps = ({ticket}: Entry): number => getExpectedServiceTime(state, ticket) / ticket.weight / fairShareStep;
 	return getServiceOrder(waiting, precedence, state.context.disabledMechanisms.has('fairness') ? () => 0 : getSteps);
 };
 
@@ -18,7 +18,7 @@
 	const waits = new Map<Entry, Milliseconds>();
 	let serviceAhead = 0;
 	for (const entry of inOrder) {
-		waits.set(entry, getExpectedWait(forecast, entry.ticket.rank, serviceAhead));
+		waits.set(entry, getTicketWait(forecast, entry.ticket.rank, serviceAhead));
 		serviceAhead += getExpectedServiceTime(state, entry.ticket);
 	}
 
--- a/packages/scheduler/src/owner/queries/select-next.ts
+++ b/packages/scheduler/src/owner/queries/select-next.ts
@@ -1,5 +1,5 @@
 import {
-	type Candidate, chooseUpstream, getFirst, type ChoiceOptions,
+	type Candidate, chooseUpstream, findFirst, type ChoiceOptions,
 } from '@gentianlift/policy';
 import type {Ticket} from '@gentianlift/types';
 import type {Assignment} from '../grant-queue.js';
@@ -18,7 +18,7 @@
 	}
 
 	const waiting = [...entries];
-	const first = getFirst(waiting, getPrecedence(state, waiting), createFitCheck(state, candidates));
+	const first = findFirst(waiting, getPrecedence(state, waiting), createFitCheck(state, candidates));
 	const entry = waiting.find(item => item === first);
 	if (entry === undefined) {
 		return undefined;
@@ -53,7 +53,7 @@
 	}
 
 	if (state.slotFraction < 1 && !disabledMechanisms.has('random-choice')) {
-		options.drawn = degradedSampleSize;
+		options.sampleSize = degradedSampleSize;
 	}
 
 	return options;
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -2,7 +2,7 @@
 import type {Clock, Random} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
-	Estimate, FloorDebts, Group, GroupUpstream, Shares, Suspects, Waiting,
+	Estimate, FloorDebts, Group, GroupUpstream, FairShares, Suspects, QueuedTicket,
 } from '@gentianlift/policy';
 import type {
 	Decision, HostId, Incarnation, LoadReport, Milliseconds, Rank, RequestId, Tier, UpstreamId, Zone,
@@ -25,7 +25,7 @@
 		| {kind: 'running'; upstream: UpstreamId; startedAt: Milliseconds; expectedDuration: Milliseconds; yielding: boolean};
 
 /** A ticket as the owner of its group tracks it. Times are on the owner's monotonic clock. */
-export type Entry = Waiting & {
+export type Entry = QueuedTicket & {
 	/** Request id and attempt, joined; the id of the entry's task in the queue. */
 	key: string;
 	host: HostId;
@@ -88,7 +88,7 @@
 	/** Highest attempt that has ended, by request, with its time; messages about it that arrive later have no effect. */
 	readonly endedAttempts: Map<RequestId, {attempt: number; at: Milliseconds}>;
 	/** Weighted service that customers have received, for fair sharing within a rank. */
-	readonly fairShares: Shares;
+	readonly fairShares: FairShares;
 	/** Service owed to each rank by its floor. */
 	floorDebts: FloorDebts;
 	/** Fraction of the slots that each rank uses, as an exponential moving average. */
--- a/packages/scheduler/src/quota/create-quota-client.ts
+++ b/packages/scheduler/src/quota/create-quota-client.ts
@@ -4,7 +4,7 @@
 	HostId, Milliseconds, PeerCalls, PeerOutcome, QuotaAnswer, QuotaRequest,
 } from '@gentianlift/types';
 import type {QuotaOwner} from './create-quota-owner.js';
-import {getQuotaKey, type Limit} from './limits.js';
+import {getQuotaKey, type QuotaLimit} from './limits.js';
 import {
 	advanceMeter, applyFallbackShare, applyShare, createMeter, getDemand, getRetryAfter, hasRoom, isRefused, type Meter, recordUse,
 } from './meter.js';
@@ -31,7 +31,7 @@
 	/** Returns the host that owns a key in this host's view. */
 	getOwnerOf: (key: string) => HostId | undefined;
 	getLocalOwner: () => QuotaOwner;
-	getLimits: () => ReadonlyMap<string, Limit>;
+	getLimits: () => ReadonlyMap<string, QuotaLimit>;
 };
 
 /** An amount to be taken from a limit. */
@@ -45,7 +45,7 @@
 	/** Takes all amounts, or none if one exceeds its limit. */
 	acquire: (amounts: readonly LimitAmount[]) => Promise<QuotaDecision>;
 	/** Records use that becomes known only afterwards, such as the tokens of an answer. */
-	use: (limit: string, amount: number) => void;
+	recordUse: (limit: string, amount: number) => void;
 	/** Releases an amount of a level. */
 	release: (limit: string, amount: number) => void;
 	stop: () => void;
@@ -84,7 +84,7 @@
 		}
 	};
 
-	readonly use = (limit: string, amount: number): void => {
+	readonly recordUse = (limit: string, amount: number): void => {
 		recordUse(this.#getMeter(limit), amount, this.#now());
 	};
 
@@ -122,7 +122,7 @@
 		return meter;
 	}
 
-	#getLimit(limit: string): Limit {
+	#getLimit(limit: string): QuotaLimit {
 		return this.#options.getLimits().get(limit) ?? {name: limit, kind: 'rate', amount: 0};
 	}
 
--- a/packages/scheduler/src/quota/create-quota-owner.ts
+++ b/packages/scheduler/src/quota/create-quota-owner.ts
@@ -2,7 +2,7 @@
 import type {
 	HostId, Milliseconds, QuotaAnswer, QuotaRequest,
 } from '@gentianlift/types';
-import {getQuotaKey, type Limit} from './limits.js';
+import {getQuotaKey, type QuotaLimit} from './limits.js';
 import {
 	type Bucket, createBucket, getLevelShare, getRefillTime, takeFromBucket,
 } from './allocation.js';
@@ -18,7 +18,7 @@
 	getHosts: () => ReadonlyArray<{host: HostId}>;
 	/** Returns the host that owns a key in this host's view. */
 	getOwnerOf: (key: string) => HostId | undefined;
-	getLimits: () => ReadonlyMap<string, Limit>;
+	getLimits: () => ReadonlyMap<string, QuotaLimit>;
 };
 
 /** Allocates shares of the limits that this host owns. */
@@ -68,13 +68,13 @@
 	}
 };
 
-const allocateRate = ({buckets}: Ledger, {name, amount}: Limit, demand: QuotaDemand, now: Milliseconds): Share => {
+const allocateRate = ({buckets}: Ledger, {name, amount}: QuotaLimit, demand: QuotaDemand, now: Milliseconds): Share => {
 	const {bucket, taken} = takeFromBucket(buckets.get(name) ?? createBucket(amount, now), amount, demand, now);
 	buckets.set(name, bucket);
 	return {limit: name, allowed: taken, duration: taken > 0 ? shareLeaseDuration : getRefillTime(bucket, amount)};
 };
 
-const allocateLevel = ({reservations}: Ledger, {name, amount}: Limit, {from, hosts, used, wanted}: QuotaDemand & {from: HostId; hosts: number}, now: Milliseconds): Share => {
+const allocateLevel = ({reservations}: Ledger, {name, amount}: QuotaLimit, {from, hosts, used, wanted}: QuotaDemand & {from: HostId; hosts: number}, now: Milliseconds): Share => {
 	const byHost = reservations.get(name) ?? new Map<HostId, Reservation>();
 	reservations.set(name, byHost);
 	byHost.delete(from);
--- a/packages/scheduler/src/quota/create-retry-budgets.ts
+++ b/packages/scheduler/src/quota/create-retry-budgets.ts
@@ -12,7 +12,7 @@
  */
 export type RetryBudgets = {
 	/** Adds a new request of a class to its budget. */
-	applyRequest: (className: ClassName, retryShare: number) => void;
+	recordRequest: (className: ClassName, retryShare: number) => void;
 	/** Whether the budget of a class allows a retry. */
 	hasRetry: (className: ClassName) => boolean;
 	/** Takes a retry from the budget of a class; false if it allows none. */
@@ -25,7 +25,7 @@
 	const getBalance = (className: ClassName): number => balances.get(className) ?? initialRetries;
 	const hasRetry = (className: ClassName): boolean => getBalance(className) >= 1;
 	return {
-		applyRequest(className, retryShare) {
+		recordRequest(className, retryShare) {
 			balances.set(className, Math.min(maxSavedRetries, getBalance(className) + retryShare));
 		},
 		hasRetry,
--- a/packages/scheduler/src/quota/meter.ts
+++ b/packages/scheduler/src/quota/meter.ts
@@ -1,5 +1,5 @@
 import type {Milliseconds} from '@gentianlift/types';
-import type {Limit} from './limits.js';
+import type {QuotaLimit} from './limits.js';
 
 const second: Milliseconds = 1000;
 /** Minimum delay given to a refused request. */
@@ -14,7 +14,7 @@
 /** A host's share of a limit and its use. */
 export type Meter = {
 	name: string;
-	kind: Limit['kind'];
+	kind: QuotaLimit['kind'];
 	/** Amount that the host may use: of a rate, what is left; of a level, the maximum in use at one time. */
 	allowed: number;
 	expiresAt: Milliseconds;
@@ -36,7 +36,7 @@
 };
 
 /** Creates a meter without a share. */
-export const createMeter = ({name, kind}: Limit, now: Milliseconds): Meter => ({
+export const createMeter = ({name, kind}: QuotaLimit, now: Milliseconds): Meter => ({
 	name, kind, allowed: 0, expiresAt: 0, inUse: 0, pendingAmount: 0, usageRate: 0, measuredUntil: now, recentUse: 0, exhaustedUntil: 0, lastAnswerAt: 0, lastUsedAt: now,
 });
 
--- a/packages/scheduler/src/quota/quota.test.ts
+++ b/packages/scheduler/src/quota/quota.test.ts
@@ -5,13 +5,13 @@
 import type {HostId} from '@gentianlift/types';
 import {createBucket, getLevelShare, takeFromBucket} from './allocation.js';
 import {
-	createQuotaClient, createQuotaOwner, createRetryBudgets, type Limit, type QuotaClient, type QuotaOwner,
+	createQuotaClient, createQuotaOwner, createRetryBudgets, type QuotaLimit, type QuotaClient, type QuotaOwner,
 } from './index.js';
 
 type Host = {id: HostId; client: QuotaClient; owner: QuotaOwner};
 type Fleet = {clock: ManualClock; hosts: Host[]; partitionedHosts: Set<HostId>; owner: HostId};
 
-const createFleet = (limits: readonly Limit[], count = 7): Fleet => {
+const createFleet = (limits: readonly QuotaLimit[], count = 7): Fleet => {
 	const clock = createManualClock(1000);
 	const fleet: Fleet = {
 		clock, hosts: [], partitionedHosts: new Set(), owner: 'h0',
@@ -21,7 +21,7 @@
 	return fleet;
 };
 
-const createHost = (fleet: Fleet, id: HostId, limits: ReadonlyMap<string, Limit>): Host => {
+const createHost = (fleet: Fleet, id: HostId, limits: ReadonlyMap<string, QuotaLimit>): Host => {
 	const shared = {
 		clock: fleet.clock, self: id, getHosts: () => fleet.hosts.map(host => ({host: host.id})), getOwnerOf: () => fleet.owner, getLimits: () => limits,
 	};
@@ -81,7 +81,7 @@
 	return held;
 };
 
-const requests: Limit = {name: 'requests:c', kind: 'rate', amount: 70};
+const requests: QuotaLimit = {name: 'requests:c', kind: 'rate', amount: 70};
 
 test('a rate holds across all hosts, whether they use it evenly or not', async () => {
 	for (const count of [1, 7]) {
@@ -127,7 +127,7 @@
 	const {client} = fleet.hosts[0]!;
 	const acquire = async () => client.acquire([{limit: 'tokens:c', amount: 10}]);
 	expect(await acquire()).toEqual({kind: 'allowed'});
-	client.use('tokens:c', 1000);
+	client.recordUse('tokens:c', 1000);
 	const refused = await acquire();
 	expect(refused.kind === 'refused' && refused.retryAfter).toBeGreaterThan(5000);
 	await fleet.clock.advance(11_000);
@@ -201,7 +201,7 @@
 				retried += budgets.takeRetry('k') ? 1 : 0;
 			} else {
 				sent++;
-				budgets.applyRequest('k', share);
+				budgets.recordRequest('k', share);
 			}
 
 			expect(retried).toBeLessThanOrEqual((sent * share) + 1 + 1e-6);
--- a/packages/scheduler/src/testing/fleet.ts
+++ b/packages/scheduler/src/testing/fleet.ts
@@ -7,7 +7,7 @@
 	ClassifiedRequest, Configuration, GrantAnswer, GrantRequest, HostId, PeerOutcome,
 } from '@gentianlift/types';
 import {
-	createGrantClient, createGroupOwner, type Grant, type GrantClient, type GroupOwner, type Mechanism,
+	createGrantClient, createGroupOwner, type GrantOutcome, type GrantClient, type GroupOwner, type Mechanism,
 } from '../index.js';
 
 /** Conditions of the simulated network between the hosts of a test fleet. */
@@ -61,17 +61,17 @@
 	const metrics = createMetrics();
 	const groups = getGroups(configuration);
 	const shared = {
-		clock: fleet.clock, random: fleet.random, metrics, self: id, without, getOwnerOf: () => fleet.owners.get(id),
+		clock: fleet.clock, random: fleet.random, metrics, self: id, disabledMechanisms: without, getOwnerOf: () => fleet.owners.get(id),
 	};
 	const owner = createGroupOwner({
 		...shared,
 		getHosts: () => fleet.hosts.map(host => ({host: host.id, zone: 'a'})),
 		push(to, answer) {
 			if (to === id) {
-				client.receive(answer);
+				client.applyDecisions(answer);
 			} else {
 				void transmit(fleet, [id, to], answer, () => {
-					fleet.getHost(to).client.receive(structuredClone(answer));
+					fleet.getHost(to).client.applyDecisions(structuredClone(answer));
 				});
 			}
 		},
@@ -166,13 +166,13 @@
 };
 
 /** The grant of a request, absent while the request waits. */
-export type GrantRecorder = {id: string; grant?: Grant};
+export type GrantRecorder = {id: string; grant?: GrantOutcome};
 
 /** Requests a slot and records the grant once there is one. */
 export const recordGrant = (host: TestHost, request: ClassifiedRequest, attempt = 1): GrantRecorder => {
 	const recorder: GrantRecorder = {id: request.id};
 	const record = async (): Promise<void> => {
-		recorder.grant = await host.client.ask(request, {attempt});
+		recorder.grant = await host.client.requestGrant(request, {attempt});
 	};
 
 	void record();
--- a/packages/scheduler/src/testing/load.ts
+++ b/packages/scheduler/src/testing/load.ts
@@ -76,7 +76,7 @@
 const runAttempt = async (state: AttemptState): Promise<void> => {
 	const {run, stream, host, request, number, yields, done} = state;
 	const result = run.results.get(stream.name)!;
-	const grant = await host.client.ask(request, {attempt: number, yields, resumed: done > 0});
+	const grant = await host.client.requestGrant(request, {attempt: number, yields, resumed: done > 0});
 	if (grant.kind !== 'granted') {
 		result.shed++;
 		return;
@@ -84,7 +84,7 @@
 
 	const outcome = await generate(state, grant.upstream, grant.yieldSignal);
 	result.service += outcome.duration;
-	host.client.end({
+	host.client.reportEnd({
 		request: request.id, attempt: number, kind: outcome.yielded ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefillTime, duration: outcome.duration,
 	});
 	if (outcome.yielded) {
