--- a/packages/discovery/src/fleet-view.ts
+++ b/packages/discovery/src/fleet-view.ts
@@ -115,20 +115,20 @@
 		hosts.set(entry.key, record);
 	};
 
-	const applyItem = (key: string, item: DecodedEntry): void => {
-		switch (item.kind) {
+	const applyDecodedEntry = (key: string, decoded: DecodedEntry): void => {
+		switch (decoded.kind) {
 			case 'configuration': {
-				applyConfiguration(item.configuration);
+				applyConfiguration(decoded.configuration);
 				break;
 			}
 
 			case 'upstream': {
-				applyUpstream(key, item.upstream);
+				applyUpstream(key, decoded.upstream);
 				break;
 			}
 
 			case 'unreadable': {
-				logger.warn('entry-unreadable', {key, reason: item.reason});
+				logger.warn('entry-unreadable', {key, reason: decoded.reason});
 				removeUpstream(key, 'unreadable');
 				break;
 			}
@@ -150,7 +150,7 @@
 		if (entry.key.startsWith(hostPrefix)) {
 			applyHost(entry);
 		} else {
-			applyItem(entry.key, decode(entry));
+			applyDecodedEntry(entry.key, decode(entry));
 		}
 	};
 
--- a/packages/discovery/src/load-tracker.ts
+++ b/packages/discovery/src/load-tracker.ts
@@ -42,12 +42,12 @@
 
 /** Limits loads to 0 or more: a request may end after its upstream was removed, which subtracts load that is no longer counted. */
 const clampToZero = ({
-	running, unreadTokens, latencySensitiveStreams: delicate, queuedTokens: awaitedTokens,
+	running, unreadTokens, latencySensitiveStreams, queuedTokens,
 }: LoadContribution): LoadContribution => ({
 	running: Math.max(0, running),
 	unreadTokens: Math.max(0, unreadTokens),
-	latencySensitiveStreams: Math.max(0, delicate),
-	queuedTokens: Math.max(0, awaitedTokens),
+	latencySensitiveStreams: Math.max(0, latencySensitiveStreams),
+	queuedTokens: Math.max(0, queuedTokens),
 });
 
 /** Creates a tracker without any load. */
--- a/packages/discovery/src/packet.ts
+++ b/packages/discovery/src/packet.ts
@@ -72,7 +72,7 @@
 	};
 };
 
-/** Highest number of changes in one datagram. */
+/** Maximum number of changes in one datagram. */
 const maxChangesPerDatagram = 40;
 
 /** Splits a list into chunks of at most `size` items. */
--- a/packages/discovery/src/relay-plan.ts
+++ b/packages/discovery/src/relay-plan.ts
@@ -16,7 +16,7 @@
 	= | {kind: 'direct'; members: HostRecord[]}
 		/** A relay sends its own reports and those of its group to its group and to the other relays. */
 		| (RelayTargets & {kind: 'relay'})
-		/** A member sends its reports to the relay of its group; it still forwards reports when a packet asks for it. */
+		/** A member sends its reports to the relay of its group; it still forwards reports when a packet requests it. */
 		| (RelayTargets & {kind: 'member'; relay: HostRecord});
 
 /** Largest fleet in which each host sends its reports to all others. */
--- a/packages/discovery/src/report-broadcast.ts
+++ b/packages/discovery/src/report-broadcast.ts
@@ -41,7 +41,7 @@
 const planInterval: Milliseconds = 250;
 /** Age of a relay's last change batch up to which this host relies on the relay, instead of watching the service itself. */
 const relayFeedTimeout: Milliseconds = 1100;
-/** Highest number of reports in one datagram, whose size is limited to 64 KB. */
+/** Maximum number of reports in one datagram, whose size is limited to 64 KB. */
 const maxReportsPerDatagram = 40;
 
 /** Opens the socket and starts to receive the reports of other hosts. */
@@ -136,7 +136,7 @@
 		});
 	};
 
-	/** Forwards reports as their packet asks, even if this host doesn't consider itself a relay: hosts may disagree on the plan. */
+	/** Forwards reports as their packet requests, even if this host doesn't consider itself a relay: hosts may disagree on the plan. */
 	const forwardReports = (reports: readonly LoadReport[], scope: ForwardScope): void => {
 		switch (scope) {
 			case forwardScope.fleet: {
--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -11,7 +11,7 @@
 import type {Exchange} from './upstream-tracker.js';
 import type {Assignment} from './request-queue.js';
 
-/** Shortest wait for the head of an answer before an idempotent request is retried on another upstream. */
+/** Minimum wait for the head of an answer before an idempotent request is retried on another upstream. */
 const minFirstAttemptTimeout: Milliseconds = 300;
 /** Fraction of the remaining time that an attempt may wait for an answer while a retry is left. */
 const firstAttemptFraction = 0.4;
@@ -23,19 +23,19 @@
 const silenceCheckInterval: Milliseconds = 200;
 
 /** Returns the longest wait for the head of an answer; while a retry is possible, part of the remaining time is left for it. */
-const getHeadTimeout = (call: Call, progress: Progress, timeLeft: Milliseconds): Milliseconds => {
+const getHeadTimeout = (call: Call, progress: Progress, remainingTime: Milliseconds): Milliseconds => {
 	const mayRetryElsewhere = call.route.kind === 'idempotent' && progress.possibleExecutions + 1 < call.route.maxUpstreams;
-	return mayRetryElsewhere ? Math.min(timeLeft, Math.max(minFirstAttemptTimeout, timeLeft * firstAttemptFraction)) : timeLeft;
+	return mayRetryElsewhere ? Math.min(remainingTime, Math.max(minFirstAttemptTimeout, remainingTime * firstAttemptFraction)) : remainingTime;
 };
 
 /** Builds the request to an upstream; a stream resumes after the last event that was delivered. */
 const buildUpstreamRequest = (call: Call, progress: Progress, upstream: Upstream, context: ForwarderContext): UpstreamRequest => {
-	const timeLeft = Math.max(1, Math.floor(call.deadline - context.clock.monotonic()));
+	const remainingTime = Math.max(1, Math.floor(call.deadline - context.clock.monotonic()));
 	const headers = context.protocol.writeUpstreamHead({
 		caller: call.head,
 		upstream,
 		customer: call.customer?.name,
-		remainingTime: timeLeft,
+		remainingTime,
 		rank: call.rank,
 		resumeAfter: progress.lastEventId,
 		bodyLength: call.body.length,
@@ -47,7 +47,7 @@
 		headers,
 		body: call.body,
 		attemptId: call.head.attemptId,
-		headTimeout: getHeadTimeout(call, progress, timeLeft),
+		headTimeout: getHeadTimeout(call, progress, remainingTime),
 	};
 };
 
@@ -106,7 +106,7 @@
 	}
 };
 
-/** Delivers the answer, if there is one, and maps the outcome of the send to that of the attempt. */
+/** Delivers the answer, if there is one, and maps the outcome of the request to that of the attempt. */
 const handleSendOutcome = async (attempt: Attempt, outcome: SendOutcome): Promise<AttemptOutcome> => {
 	switch (outcome.kind) {
 		case 'unreachable': {
--- a/packages/forwarder/src/context.ts
+++ b/packages/forwarder/src/context.ts
@@ -23,8 +23,8 @@
 	/** Requests that were running on upstreams when these crashed. */
 	suspects: CrashSuspects;
 	crashDetector: CrashDetector;
-	/** Bound on retries; updated in place when the settings are reloaded. */
-	retryBound: RetryLimit;
+	/** Limit on retries; updated in place when the settings are reloaded. */
+	retryLimit: RetryLimit;
 	/** Returns the number of hosts that share fleet-wide limits, including this one. */
 	countHosts: () => number;
 	/** Whether the host is in a graceful shutdown. */
--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -112,7 +112,7 @@
 	expect(performance.now() - startedAt).toBeLessThan(1400);
 });
 
-test('an upstream is told the remaining time', async () => {
+test('an upstream receives the remaining time', async () => {
 	let remainingTime = Number.NaN;
 	const {host} = await start((request, response) => {
 		remainingTime = Number(request.headers.timeout);
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -39,7 +39,7 @@
 			return existing;
 		}
 
-		const budget = createRetryBudget(context.retryBound);
+		const budget = createRetryBudget(context.retryLimit);
 		budgets.set(service, budget);
 		return budget;
 	};
--- a/packages/forwarder/src/guards.test.ts
+++ b/packages/forwarder/src/guards.test.ts
@@ -37,8 +37,8 @@
 
 test('retries stop when the retry budget is exhausted', async () => {
 	const {host, counts} = await start(rejectUnexecuted, rejectUnexecuted);
-	host.context.retryBound.minimum = 0;
-	host.context.retryBound.ratio = 0;
+	host.context.retryLimit.minimum = 0;
+	host.context.retryLimit.ratio = 0;
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 503});
 	expect(sum(counts)).toBe(1);
 });
--- a/packages/forwarder/src/protocol.ts
+++ b/packages/forwarder/src/protocol.ts
@@ -27,7 +27,7 @@
 	caller: CallerHead;
 	upstream: Upstream;
 	customer: CustomerId | undefined;
-	/** Time left until the deadline of the call. */
+	/** Remaining time until the deadline of the call. */
 	remainingTime: Milliseconds;
 	rank: Rank;
 	/** Id of the last event that the caller has received, if the upstream is to resume a stream. */
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -21,9 +21,9 @@
 
 /** Interval between dispatch passes; estimated backlogs shrink with time alone. */
 const dispatchInterval: Milliseconds = 15;
-/** Shortest pause between two passes; each load report of another host requests one. */
+/** Minimum interval between two passes; each load report of another host requests one. */
 const minDispatchInterval: Milliseconds = 4;
-/** Shortest pause between two passes as a multiple of the last one's duration, which bounds the processor time spent on a long queue. */
+/** Minimum interval between two passes as a multiple of the last one's duration, which bounds the processor time spent on a long queue. */
 const dispatchPauseFactor = 4;
 
 /** Smallest change of the tokens queued for an upstream that is reported to other hosts. */
@@ -65,7 +65,7 @@
 		return limit;
 	};
 
-	/** Returns the time left until the route's latency target. */
+	/** Returns the remaining time until the route's latency target. */
 	const getSlack = ({call}: QueuedRequest): Milliseconds => call.arrivedAt + call.route.latencyTarget - clock.monotonic();
 
 	const getQueueOrder = (entry: QueuedRequest) => ({
--- a/packages/forwarder/src/send.ts
+++ b/packages/forwarder/src/send.ts
@@ -39,7 +39,7 @@
 	cancel: () => void;
 };
 
-/** Dependencies of a send. */
+/** Dependencies of `send`. */
 export type SendOptions = {agent: UpstreamAgent; protocol: Protocol; clock: Clock};
 
 /** Longest time to establish a connection within a region. */
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -35,7 +35,7 @@
 	gracePeriod: Milliseconds;
 	/** Time to live of a list of addresses that callers were given. */
 	addressTtl: Milliseconds;
-	retryBound: RetryLimit;
+	retryLimit: RetryLimit;
 };
 
 /** Dependencies of a host, apart from its settings. */
@@ -58,7 +58,7 @@
 	addressTtl: Milliseconds;
 	/** Returns the metrics in the text format that is served to scrapers. */
 	getMetricsPage: () => string;
-	/** Applies the grace period, the time to live of addresses and the bound on retries; changed addresses apply at the next start. */
+	/** Applies the grace period, the time to live of addresses and the limit on retries; changed addresses apply at the next start. */
 	reload: (settings: HostSettings) => void;
 	/** Shuts the host down gracefully; resolves when its process may end. */
 	stop: () => Promise<void>;
@@ -121,7 +121,7 @@
 		tracker,
 		suspects,
 		crashDetector: createCrashDetector(clock),
-		retryBound: {...settings.retryBound},
+		retryLimit: {...settings.retryLimit},
 		countHosts: fleet.countHosts,
 		isStopping,
 		canAccept: timeout => shutdown.since === undefined || canAcceptRequest(clock.monotonic() - shutdown.since, shutdown.gracePeriod, timeout),
@@ -157,9 +157,9 @@
 		reload(next) {
 			shutdown.gracePeriod = next.gracePeriod;
 			addressListTtl = Math.min(next.addressTtl, maxAddressListTtl);
-			Object.assign(context.retryBound, next.retryBound);
+			Object.assign(context.retryLimit, next.retryLimit);
 			logger.info('reloaded', {
-				grace: next.gracePeriod, offerLife: addressListTtl, retryRatio: next.retryBound.ratio, retryMinimum: next.retryBound.minimum, hasOtherAddress: next.callers !== settings.callers,
+				grace: next.gracePeriod, offerLife: addressListTtl, retryRatio: next.retryLimit.ratio, retryMinimum: next.retryLimit.minimum, hasOtherAddress: next.callers !== settings.callers,
 			});
 		},
 		async stop() {
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -55,7 +55,7 @@
 			forwarded: [],
 		};
 	},
-	writeUpstreamHead: ({caller, upstream, remainingTime: timeLeft, resumeAfter, bodyLength}) => [
+	writeUpstreamHead: ({caller, upstream, remainingTime, resumeAfter, bodyLength}) => [
 		'Host',
 		'a.example',
 		'Attempt',
@@ -63,7 +63,7 @@
 		'Instance',
 		upstream.id,
 		'Timeout',
-		String(timeLeft),
+		String(remainingTime),
 		...(resumeAfter === undefined ? [] : ['Last-Event', String(resumeAfter)]),
 		'Content-Length',
 		String(bodyLength),
@@ -154,7 +154,7 @@
 		tracker: createUpstreamTracker({clock, logger, loads}),
 		suspects: createCrashSuspects(),
 		crashDetector: createCrashDetector(clock),
-		retryBound: {ratio: 0.2, minimum: 54, window: 10_000},
+		retryLimit: {ratio: 0.2, minimum: 54, window: 10_000},
 		countHosts: () => 1,
 		isStopping: () => isStopping,
 		canAccept: () => !isStopping,
--- a/packages/forwarder/src/upstream-tracker.ts
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -2,7 +2,8 @@
 import type {LoadTracker} from '@gentianlift/discovery';
 import type {Logger} from '@gentianlift/logger';
 import {
-	addResult, chooseReservedUpstreams, createFailureRate, createPromptCache, createPrefillRateEstimate, defaultPrefillRate, getBacklog, getFailureRatio, getPreferredUpstream, getUpstreamKey, updateReservation,
+	addResult, chooseReservedUpstreams, createFailureRate, createPromptCache, createPrefillRateEstimate, defaultPrefillRate,
+	getBacklog, getFailureRatio, getPreferredUpstream, getUpstreamKey, updateReservation,
 	type Candidate, type FailureRate, type CachedTokens, type Prompt, type PromptCache, type PrefillRateEstimate, type RouteKind, type Reservation, type Service, type Upstream, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
@@ -70,7 +71,7 @@
 /** Weight of the newest duration in the moving average. */
 const durationWeight = 0.15;
 /** Bounds of the ratio of an upstream's mean duration to the median of all upstreams. */
-const slownessRange = {min: 0.7, max: 6};
+const relativeLatencyRange = {min: 0.7, max: 6};
 /** Capacity of the prompt cache that is assumed where a service doesn't configure one. */
 const defaultCacheTokens = 200_000;
 
@@ -79,10 +80,10 @@
 /** Probability that the preferred upstream of a prompt has its shared prefix cached although this host has no record of it. */
 const affinityHitProbability = 0.5;
 
-/** Expected number of shared tokens that the preferred upstream of a prompt has cached beyond the most that any upstream is known to have. */
+/** Expected number of shared tokens that the preferred upstream of a prompt has cached beyond the maximum that any upstream is known to have. */
 type AffinityEstimate = {preferred: UpstreamKey | undefined; tokens: number};
 
-/** Estimates what the preferred upstream has cached, where `maxSharedTokens` is the most that any upstream is known to have. */
+/** Estimates what the preferred upstream has cached, where `maxSharedTokens` is the maximum that any upstream is known to have. */
 const estimateAffinity = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): AffinityEstimate => {
 	const shared = prompt.parts.slice(0, -1).reduce((sum, {tokens}) => sum + tokens, 0);
 	return {preferred: getPreferredUpstream(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
@@ -99,13 +100,13 @@
 		return 1;
 	}
 
-	return Math.min(slownessRange.max, Math.max(slownessRange.min, duration / median));
+	return Math.min(relativeLatencyRange.max, Math.max(relativeLatencyRange.min, duration / median));
 };
 
 /** Creates a tracker without state. */
 export const createUpstreamTracker = ({clock, logger, loads}: UpstreamTrackerOptions): UpstreamTracker => {
 	const states = new Map<UpstreamKey, UpstreamState>();
-	const isolations = new Map<string, Reservation>();
+	const reservations = new Map<string, Reservation>();
 
 	const getState = (key: UpstreamKey): UpstreamState => {
 		const existing = states.get(key);
@@ -144,12 +145,12 @@
 		return state.cache;
 	};
 
-	/** Returns the upstreams that are set aside for latency-sensitive streams. */
-	const getIsolated = (service: string, upstreams: readonly Upstream[]): ReadonlySet<UpstreamKey> => {
+	/** Returns the upstreams that are reserved for latency-sensitive streams. */
+	const getReserved = (service: string, upstreams: readonly Upstream[]): ReadonlySet<UpstreamKey> => {
 		const streams = upstreams.reduce((sum, upstream) => sum + loads.getTotalLoad(getUpstreamKey(upstream)).latencySensitiveStreams, 0);
-		const isolation = updateReservation(isolations.get(service), streams, clock.monotonic());
-		isolations.set(service, isolation);
-		return chooseReservedUpstreams(upstreams, isolation.count);
+		const reservation = updateReservation(reservations.get(service), streams, clock.monotonic());
+		reservations.set(service, reservation);
+		return chooseReservedUpstreams(upstreams, reservation.count);
 	};
 
 	return {
@@ -175,8 +176,8 @@
 			const median = getMedian(usableStates.map(({state}) => state.meanDuration).filter(duration => duration !== undefined));
 			const cachedTokens = usableStates.map(({key}) => prompt === undefined ? noCachedTokens : getCache(key, service.engine?.cacheTokens).getCachedTokens(prompt));
 			const maxSharedTokens = Math.max(...cachedTokens.map(({shared}) => shared));
-			const isolated = getIsolated(service.name, upstreams);
-			const affinityCandidates = usable.filter(upstream => !isolated.has(getUpstreamKey(upstream)));
+			const reserved = getReserved(service.name, upstreams);
+			const affinityCandidates = usable.filter(upstream => !reserved.has(getUpstreamKey(upstream)));
 			const affinity = prompt === undefined ? undefined : estimateAffinity(prompt, maxSharedTokens, affinityCandidates);
 			return usableStates.map(({upstream, key, state}, index) => {
 				const load = loads.getTotalLoad(key);
@@ -189,7 +190,7 @@
 					uncachedTokens: Math.max(0, (prompt?.inputTokens ?? 0) - all),
 					rereadTokens: maxSharedTokens - shared + (affinity === undefined || affinity.preferred === key ? 0 : affinity.tokens),
 					prefillRate: state.prefillRate.get(),
-					isReserved: isolated.has(key),
+					isReserved: reserved.has(key),
 					failureRatio: getFailureRatio(state.failures, now),
 					relativeLatency: getRelativeLatency(state.meanDuration, median),
 				};
--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -44,15 +44,15 @@
 	/** Total service time of the queued requests ahead, in slot-milliseconds. */
 	ahead: Milliseconds;
 	/** Time until the first slot becomes free; 0 if one is free. */
-	nextFree: Milliseconds;
+	timeToFreeSlot: Milliseconds;
 	slots: number;
 	/** Fraction of the slots that is available to the request's tier, above 0 and up to 1. */
 	slotFraction: number;
 };
 
 /** Returns the expected waiting time for a slot. */
-export const getExpectedWait = ({ahead, nextFree, slots, slotFraction}: QueueState): Milliseconds =>
-	nextFree + (ahead / Math.max(1, slots * slotFraction));
+export const getExpectedWait = ({ahead, timeToFreeSlot, slots, slotFraction}: QueueState): Milliseconds =>
+	timeToFreeSlot + (ahead / Math.max(1, slots * slotFraction));
 
 /** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
 export const getLoad = (outstanding: number, outstandingAtReport: number, report: LoadReport | undefined): number => {
--- a/packages/router/src/dispatch/failed-attempt.test.ts
+++ b/packages/router/src/dispatch/failed-attempt.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {getFailedAttempt, detectCrash} from './failed-attempt.js';
 
-test('tells a rejected request from an upstream failure', () => {
+test('distinguishes a rejected request from an upstream failure', () => {
 	expect(getFailedAttempt({kind: 'failed', status: 400, text: 'context too long'})).toMatchObject({error: 'upstream-rejected', ran: 'not-run', rejection: 'context too long'});
 	expect(getFailedAttempt({kind: 'failed', status: 429, text: ''})).toMatchObject({error: 'upstream-failed'});
 	expect(getFailedAttempt({kind: 'failed', status: 500, text: ''})).toMatchObject({error: 'upstream-failed', ran: 'ran', sighting: 'error'});
--- a/packages/router/src/dispatch/failed-attempt.ts
+++ b/packages/router/src/dispatch/failed-attempt.ts
@@ -11,7 +11,7 @@
 	outcome: AttemptOutcome;
 	/** What the failure says about the health of the upstream; undefined if nothing. */
 	sighting: UpstreamSighting['kind'] | undefined;
-	/** Whether the upstream executed the request, as far as the router can tell. */
+	/** Whether the upstream executed the request, as far as the router knows. */
 	ran: RunState;
 	retryAfter?: Milliseconds;
 	/** Upstream's message for a request that it rejected; there is no retry, since any other upstream would reject it too. */
@@ -72,7 +72,7 @@
 	};
 };
 
-/** Tells a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
+/** Distinguishes a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
 export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: FailedAttempt): Promise<FailedAttempt> => {
 	if (failure.sighting !== 'reset') {
 		return failure;
--- a/packages/router/src/host/scheduling.ts
+++ b/packages/router/src/host/scheduling.ts
@@ -52,16 +52,16 @@
 export const createScheduling = ({settings, incarnation, clock, random, metrics, fleet, peers}: SchedulingOptions): Scheduling => {
 	const {host: self} = settings;
 	// Scheduler mechanisms that the settings disable.
-	const without = getMechanisms(settings.without);
+	const disabledMechanisms = getMechanisms(settings.without);
 	let groups: readonly Group[] = [];
 	let limits: ReadonlyMap<string, QuotaLimit> = new Map();
 	let currentVersion: ConfigurationVersion | undefined;
 	const sharedOptions = {
 		clock, random, metrics, self, peers, getHosts: fleet.getHosts, getOwnerOf: fleet.getOwnerOf, getLimits: () => limits,
 	};
-	const groupOwner = createGroupOwner({...sharedOptions, disabledMechanisms: without, push: createGrantPush(self, peers, metrics, () => grants)});
+	const groupOwner = createGroupOwner({...sharedOptions, disabledMechanisms, push: createGrantPush(self, peers, metrics, () => grants)});
 	const grants: GrantClient = createGrantClient({
-		...sharedOptions, incarnation, disabledMechanisms: without, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
+		...sharedOptions, incarnation, disabledMechanisms, order: settings.order, getLocalOwner: () => groupOwner, getGroups: () => groups,
 	});
 	const quotaOwner = createQuotaOwner(sharedOptions);
 	const quota = createQuotaClient({...sharedOptions, getLocalOwner: () => quotaOwner});
--- a/packages/routing/src/queue-order.ts
+++ b/packages/routing/src/queue-order.ts
@@ -35,5 +35,5 @@
  */
 export const getBacklogLimit = (routes: readonly Route[], service: string, rank: Rank): Milliseconds => {
 	const higherRanked = routes.filter(route => route.rank < rank && route.destinations.some(destination => destination.service === service));
-	return maxBacklogFraction * Math.min(...higherRanked.map(({latencyTarget: target}) => target));
+	return maxBacklogFraction * Math.min(...higherRanked.map(({latencyTarget}) => latencyTarget));
 };
--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -49,7 +49,7 @@
 	};
 
 	readonly applyDecisions = (): void => {
-		// No owner pushes decisions, since none was asked for a grant.
+		// No owner pushes decisions, since none received a request for a grant.
 	};
 
 	readonly getCounts = (): {waiting: number; running: number; bytes: number} => ({waiting: 0, running: this.#running.size, bytes: 0});
--- a/packages/scheduler/src/client/baseline.ts
+++ b/packages/scheduler/src/client/baseline.ts
@@ -15,16 +15,16 @@
 	const outstanding = new Map<UpstreamId, number>();
 	let nextIndex = random.below(1024);
 
-	const selectUpstream = (fitting: readonly GroupUpstream[]): UpstreamId | undefined => {
+	const selectUpstream = (eligible: readonly GroupUpstream[]): UpstreamId | undefined => {
 		switch (order) {
 			case 'first-in-first-out': {
 				nextIndex++;
-				return fitting[nextIndex % fitting.length]?.id;
+				return eligible[nextIndex % eligible.length]?.id;
 			}
 
 			case 'least-outstanding': {
-				const fewest = Math.min(...fitting.map(({id}) => outstanding.get(id) ?? 0));
-				return random.pick(fitting.filter(({id}) => (outstanding.get(id) ?? 0) === fewest))?.id;
+				const fewest = Math.min(...eligible.map(({id}) => outstanding.get(id) ?? 0));
+				return random.pick(eligible.filter(({id}) => (outstanding.get(id) ?? 0) === fewest))?.id;
 			}
 		}
 	};
@@ -32,8 +32,8 @@
 	return {
 		choose(groups, ticket) {
 			const upstreams = groups.flatMap(group => group.upstreams);
-			const fitting = upstreams.filter(upstream => canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id));
-			const id = selectUpstream(fitting);
+			const eligible = upstreams.filter(upstream => canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id));
+			const id = selectUpstream(eligible);
 			if (id !== undefined) {
 				outstanding.set(id, (outstanding.get(id) ?? 0) + 1);
 			}
--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -29,7 +29,7 @@
 		this.#apply = apply;
 	}
 
-	/** Sends the next batch of a session unless too many are in flight. In degraded mode, hands it to the local owner and probes the group's owner. */
+	/** Sends the next batch of a session unless too many are in flight. In degraded mode, passes it to the local owner and probes the group's owner. */
 	flush(session: GroupSession): void {
 		const owner = this.#getOwner(session);
 		if (owner === undefined) {
@@ -48,8 +48,8 @@
 	}
 
 	#getOwner({group}: GroupSession): HostId | undefined {
-		const {disabledMechanisms: without, getOwnerOf} = this.#options;
-		return without?.includes('grants') === true ? undefined : getOwnerOf(group);
+		const {disabledMechanisms, getOwnerOf} = this.#options;
+		return disabledMechanisms?.includes('grants') === true ? undefined : getOwnerOf(group);
 	}
 
 	#exchangeLocally(session: GroupSession): void {
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -22,7 +22,7 @@
 
 /** Options of one attempt to get a slot for a request. */
 export type GrantOptions = {
-	/** Number of the attempt, which rises by one each time the request asks for a slot again; 1 if absent. */
+	/** Number of the attempt, which rises by one each time a slot is requested again; 1 if absent. */
 	attempt?: number;
 	/** Upstreams that the request must not be sent to again. */
 	avoid?: UpstreamId[];
--- a/packages/scheduler/src/grants.test.ts
+++ b/packages/scheduler/src/grants.test.ts
@@ -174,12 +174,12 @@
 
 test('methods of the client and the owner work detached from their objects', async () => {
 	const {fleet, a} = createPair([1]);
-	const {requestGrant: ask, reportEnd: end, getCounts} = a.client;
+	const {requestGrant, reportEnd, getCounts} = a.client;
 	const {applyCacheEvents, getOverview} = a.owner;
 	applyCacheEvents('e0', [{sequence: 1, kind: 'stored', chunk: 'x'}]);
-	void ask(createTestRequest(fleet, 'first'));
+	void requestGrant(createTestRequest(fleet, 'first'));
 	await fleet.clock.advance(20);
 	expect(getCounts().running).toBe(1);
-	end(getEnd('first'));
+	reportEnd(getEnd('first'));
 	expect(getOverview()[0]!.ranks[0]!.running).toBe(0);
 });
--- a/packages/scheduler/src/owner/commands/crash.ts
+++ b/packages/scheduler/src/owner/commands/crash.ts
@@ -48,9 +48,9 @@
 const updateWaitingSuspects = (state: GroupState): void => {
 	const {suspects, clock} = state.context;
 	for (const entry of getWaitingEntries(state)) {
-		const standing = getSuspectStatus(suspects, entry.ticket.fingerprint, clock.now());
-		entry.ticket.isolated ||= standing === 'suspected';
-		if (standing === 'guilty') {
+		const status = getSuspectStatus(suspects, entry.ticket.fingerprint, clock.now());
+		entry.ticket.isolated ||= status === 'suspected';
+		if (status === 'guilty') {
 			shed(state, entry, 'crashes-upstreams', 0);
 		}
 	}
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -36,7 +36,7 @@
 	return isNewest;
 };
 
-/** Adds a ticket that asks for a slot. A repeated one gets its grant again; one of an attempt that has ended has no effect. */
+/** Adds a ticket that requests a slot. A repeated one gets its grant again; one of an attempt that has ended has no effect. */
 const applyAsk = (state: GroupState, ticket: Ticket, origin: TicketOrigin): void => {
 	const lastEndedAttempt = state.endedAttempts.get(ticket.request)?.attempt ?? 0;
 	if (ticket.attempt <= lastEndedAttempt) {
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -205,12 +205,12 @@
 	}
 }
 
-const createContext = ({clock, random, metrics, disabledMechanisms: without, getHosts}: GroupOwnerOptions): OwnerContext => ({
+const createContext = ({clock, random, metrics, disabledMechanisms, getHosts}: GroupOwnerOptions): OwnerContext => ({
 	clock,
 	random,
 	metrics,
 	getZone: host => getHosts().find(item => item.host === host)?.zone,
-	disabledMechanisms: new Set(without),
+	disabledMechanisms: new Set(disabledMechanisms),
 	tiers: [],
 	suspects: new Map(),
 });
--- a/packages/scheduler/src/owner/queries/forecast.ts
+++ b/packages/scheduler/src/owner/queries/forecast.ts
@@ -75,9 +75,9 @@
 };
 
 /** Returns the expected wait of a ticket with the given service time queued ahead of it. */
-export const getTicketWait = ({slots, timeToFreeSlot: nextFree, rankFractions}: CapacityForecast, rank: Rank, ahead: Milliseconds): Milliseconds =>
+export const getTicketWait = ({slots, timeToFreeSlot, rankFractions}: CapacityForecast, rank: Rank, ahead: Milliseconds): Milliseconds =>
 	getExpectedWait({
-		ahead, nextFree, slots, slotFraction: rankFractions[rank] ?? 1,
+		ahead, timeToFreeSlot, slots, slotFraction: rankFractions[rank] ?? 1,
 	});
 
 const getTimeToFreeSlot = (state: GroupState, slots: number, now: Milliseconds): Milliseconds => {
--- a/packages/scheduler/src/owner/upstream-registry.ts
+++ b/packages/scheduler/src/owner/upstream-registry.ts
@@ -5,7 +5,7 @@
 import {recordCachedPrefixes} from './commands/entries.js';
 import type {Standing, UpstreamState} from './state.js';
 
-/** Greatest age of a load report whose timestamp is used; otherwise the report counts as taken on arrival. */
+/** Maximum age of a load report whose timestamp is used; otherwise the report counts as taken on arrival. */
 const maxReportLag: Milliseconds = 10_000;
 
 /** The latest status and load of each upstream, kept for groups that are created later. */
--- a/packages/scheduler/src/quota/create-quota-client.ts
+++ b/packages/scheduler/src/quota/create-quota-client.ts
@@ -139,7 +139,7 @@
 		return lacking;
 	}
 
-	/** Adds or subtracts the amounts that requests wait for, so that one exchange asks for all of them. */
+	/** Adds or subtracts the amounts that requests wait for, so that one exchange requests all of them. */
 	#addPending(amounts: readonly LimitAmount[], sign: 1 | -1): void {
 		for (const {limit, amount} of amounts) {
 			this.#getMeter(limit).pendingAmount += sign * amount;
--- a/packages/scheduler/src/quota/meter.ts
+++ b/packages/scheduler/src/quota/meter.ts
@@ -6,7 +6,7 @@
 const minRetryAfter: Milliseconds = 1000;
 /** Time over which use is averaged, for which it is requested in advance, and for which a fallback share lasts. */
 const usageWindow: Milliseconds = 1000;
-/** Delay before a host asks again for a level that was exhausted. */
+/** Delay before a host again requests a level that was exhausted. */
 const levelRetryDelay: Milliseconds = 20;
 /** How long after the owner's last answer a host may go on using a limit at its own last rate. */
 const lastRateExpiry: Milliseconds = 10_000;
@@ -78,7 +78,7 @@
 	? {limit: meter.name, used: meter.inUse, wanted: meter.inUse + meter.pendingAmount}
 	: {limit: meter.name, used: Math.max(0, -meter.allowed), wanted: Math.ceil(Math.max(1, meter.pendingAmount + (meter.usageRate * usageWindow / second)) - Math.max(0, meter.allowed))};
 
-/** Applies the owner's answer. An answer that allows nothing tells when to ask again. */
+/** Applies the owner's answer. An answer that allows nothing states when to request again. */
 export const applyShare = (meter: Meter, share: {allowed: number; duration: Milliseconds}, demand: {used: number; wanted: number}, now: Milliseconds): void => {
 	meter.lastAnswerAt = now;
 	if (meter.kind === 'level') {
--- a/packages/scheduler/src/testing/fleet.ts
+++ b/packages/scheduler/src/testing/fleet.ts
@@ -38,7 +38,7 @@
 };
 
 /** Creates a fleet in which all hosts regard the first one as the owner of all groups. */
-export const createTestFleet = (configuration: Configuration, ids: readonly HostId[], seed = 1, without: readonly Mechanism[] = []): TestFleet => {
+export const createTestFleet = (configuration: Configuration, ids: readonly HostId[], seed = 1, disabledMechanisms: readonly Mechanism[] = []): TestFleet => {
 	const clock = createManualClock(1_000_000);
 	const random = createRandom(seed);
 	const network: NetworkConditions = {
@@ -53,15 +53,15 @@
 		counts: {messages: 0, bytes: 0},
 		getHost: id => fleet.hosts.find(host => host.id === id)!,
 	};
-	fleet.hosts = ids.map(id => createTestHost(fleet, configuration, id, without));
+	fleet.hosts = ids.map(id => createTestHost(fleet, configuration, id, disabledMechanisms));
 	return fleet;
 };
 
-const createTestHost = (fleet: TestFleet, configuration: Configuration, id: HostId, without: readonly Mechanism[]): TestHost => {
+const createTestHost = (fleet: TestFleet, configuration: Configuration, id: HostId, disabledMechanisms: readonly Mechanism[]): TestHost => {
 	const metrics = createMetrics();
 	const groups = getGroups(configuration);
 	const shared = {
-		clock: fleet.clock, random: fleet.random, metrics, self: id, disabledMechanisms: without, getOwnerOf: () => fleet.owners.get(id),
+		clock: fleet.clock, random: fleet.random, metrics, self: id, disabledMechanisms, getOwnerOf: () => fleet.owners.get(id),
 	};
 	const owner = createGroupOwner({
 		...shared,
