--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -199,7 +199,7 @@
 	};
 	if (prompt !== undefined) {
 		context.tracker.recordPrefill(key, prompt);
-		context.reports.addPrefill({upstream: key, model: prompt.model, parts: prompt.parts});
+		context.reportExchange.addPrefill({upstream: key, model: prompt.model, parts: prompt.parts});
 	}
 
 	const service = context.view.getRoutes()?.services.get(call.service);
--- a/packages/forwarder/src/context.ts
+++ b/packages/forwarder/src/context.ts
@@ -18,7 +18,7 @@
 	zone: Zone;
 	view: FleetView;
 	/** Exchange of load reports and events with the other hosts. */
-	reports: LoadReportExchange;
+	reportExchange: LoadReportExchange;
 	tracker: UpstreamTracker;
 	/** Requests that were running on upstreams when these crashed. */
 	suspects: CrashSuspects;
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -114,7 +114,7 @@
 
 		const fingerprint = getFingerprint(call);
 		if (context.suspects.clear(fingerprint)) {
-			context.reports.addClearedSuspect(fingerprint);
+			context.reportExchange.addClearedSuspect(fingerprint);
 		}
 	};
 
--- a/packages/forwarder/src/report-crash.ts
+++ b/packages/forwarder/src/report-crash.ts
@@ -11,7 +11,7 @@
 
 	const crash = {fingerprint: getFingerprint(call), upstream: getUpstreamKey(upstream)};
 	context.suspects.add(crash, context.clock.monotonic());
-	context.reports.addCrash(crash);
+	context.reportExchange.addCrash(crash);
 	context.tracker.recordUnreachable(upstream, 'crashed');
 	context.logger.info('upstream-crashed', {request: call.head.attemptId, upstream: crash.upstream, fingerprint: crash.fingerprint});
 };
--- a/packages/forwarder/src/request-load.ts
+++ b/packages/forwarder/src/request-load.ts
@@ -14,15 +14,15 @@
 };
 
 /** Adds to the number of prompt tokens queued at this host for an upstream, as reported to the other hosts. */
-export const addQueuedTokens = (reports: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
-	reports.addLoad(upstream, {...noChange, queuedTokens});
+export const addQueuedTokens = (reportExchange: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
+	reportExchange.addLoad(upstream, {...noChange, queuedTokens});
 };
 
 /** Adds a request to the load of an upstream; `latencySensitive` is 1 if prefills of long prompts beside it would make it miss its target. */
-export const startRequestLoad = (reports: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
+export const startRequestLoad = (reportExchange: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
 	let unread = unreadTokens;
 	const add = (change: Partial<LoadContribution>): void => {
-		reports.addLoad(upstream, {...noChange, ...change});
+		reportExchange.addLoad(upstream, {...noChange, ...change});
 	};
 
 	add({running: 1, unreadTokens, latencySensitiveStreams: latencySensitive});
--- a/packages/forwarder/src/request-queue.test.ts
+++ b/packages/forwarder/src/request-queue.test.ts
@@ -46,7 +46,7 @@
 		},
 	});
 	view.applySnapshot({entries: ['c', ...upstreams.map(({id}) => id)].map(key => ({key, value: '', revision: 1})), revision: 1}, 0);
-	const reports: Pick<LoadReportExchange, 'addLoad'> = {
+	const reportExchange: Pick<LoadReportExchange, 'addLoad'> = {
 		addLoad(upstream, change) {
 			loads.addOwnLoad(upstream, change, clock.monotonic());
 		},
@@ -60,8 +60,8 @@
 			return tracker.getCandidates(...parameters);
 		},
 	};
-	const context: Pick<ForwarderContext, 'clock' | 'view' | 'tracker' | 'metrics' | 'reports' | 'random' | 'zone'> = {
-		clock, view, tracker: countingTracker, metrics: createMetrics(), reports: reports as LoadReportExchange, random: createRandom(1), zone: 'a',
+	const context: Pick<ForwarderContext, 'clock' | 'view' | 'tracker' | 'metrics' | 'reportExchange' | 'random' | 'zone'> = {
+		clock, view, tracker: countingTracker, metrics: createMetrics(), reportExchange: reportExchange as LoadReportExchange, random: createRandom(1), zone: 'a',
 	};
 	return {
 		clock, loads, tracker, lookups, queue: createRequestQueue(context as ForwarderContext),
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -104,7 +104,7 @@
 
 	const assign = ({call, enqueuedAt, resolve}: QueuedRequest, candidate: Candidate, isLatencySensitive: boolean): void => {
 		metrics.record('waiting_duration', clock.monotonic() - enqueuedAt, {route: call.route.name});
-		const load = startRequestLoad(context.reports, getUpstreamKey(candidate.upstream), candidate.uncachedTokens, isLatencySensitive ? 1 : 0);
+		const load = startRequestLoad(context.reportExchange, getUpstreamKey(candidate.upstream), candidate.uncachedTokens, isLatencySensitive ? 1 : 0);
 		resolve({candidate, load});
 	};
 
@@ -144,7 +144,7 @@
 		for (const key of new Set([...reportedUpstreams, ...queuedTokens.keys()])) {
 			const change = (queuedTokens.get(key) ?? 0) - tracker.getReportedQueuedTokens(key);
 			if (Math.abs(change) >= minReportedTokenChange || (change !== 0 && !queuedTokens.has(key))) {
-				addQueuedTokens(context.reports, key, change);
+				addQueuedTokens(context.reportExchange, key, change);
 			}
 		}
 
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -113,7 +113,7 @@
 	/** Whether the state was confirmed recently, by the key-value service or by other hosts that know of no newer revision. */
 	const isFresh = (): boolean => {
 		const now = clock.monotonic();
-		const isConfirmed = context.reports.getNewestRevision() <= view.getRevision() && context.reports.getShortestSilence() < maxConfirmationAge;
+		const isConfirmed = context.reportExchange.getNewestRevision() <= view.getRevision() && context.reportExchange.getShortestSilence() < maxConfirmationAge;
 		return isConfirmed || now - refreshedAt < maxFreshAge || view.getSilence(now) < maxFreshAge;
 	};
 
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -117,7 +117,7 @@
 		protocol,
 		zone: settings.zone,
 		view: fleet.view,
-		reports: fleet.reportExchange,
+		reportExchange: fleet.reportExchange,
 		tracker,
 		suspects,
 		crashDetector: createCrashDetector(clock),
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -98,7 +98,7 @@
 	};
 };
 
-const createReports = (loads: LoadTracker): LoadReportExchange => ({
+const createReportExchange = (loads: LoadTracker): LoadReportExchange => ({
 	addLoad(upstream, change) {
 		loads.addOwnLoad(upstream, change, performance.now());
 	},
@@ -150,7 +150,7 @@
 		protocol,
 		zone: 'a',
 		view,
-		reports: createReports(loads),
+		reportExchange: createReportExchange(loads),
 		tracker: createUpstreamTracker({clock, logger, loads}),
 		suspects: createCrashSuspects(),
 		crashDetector: createCrashDetector(clock),
--- a/packages/policy/src/retry.ts
+++ b/packages/policy/src/retry.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds, RunState} from '@gentianlift/types';
 
 /** Maximum number of attempts of one request, including the first. */
-export const maxAttempts = 4;
+export const attemptLimit = 4;
 
 const initialBackoff: Milliseconds = 50;
 const maxBackoff: Milliseconds = 2000;
@@ -38,7 +38,7 @@
 		return {kind: 'stop', reason: 'not-resumable'};
 	}
 
-	if (attempt.attempts >= maxAttempts) {
+	if (attempt.attempts >= attemptLimit) {
 		return {kind: 'stop', reason: 'attempts'};
 	}
 
--- a/packages/routing/src/retry.test.ts
+++ b/packages/routing/src/retry.test.ts
@@ -2,7 +2,7 @@
 import {isRetryable} from './configuration.js';
 import {createCrashSuspects} from './crash-suspects.js';
 import {addResult, createFailureRate, getFailureRatio} from './failure-rate.js';
-import {decideRetry, maxAttempts, type FailedAttempt} from './retry.js';
+import {decideRetry, attemptLimit, type FailedAttempt} from './retry.js';
 import {createRetryBudget} from './retry-budget.js';
 import {buildRoute} from './testing.js';
 
@@ -29,7 +29,7 @@
 });
 
 test('attempts stop at their maximum number and when the remaining time is too short', () => {
-	expect(decideRetry({...attempt, isNotExecuted: true, attempts: maxAttempts})).toEqual({kind: 'stop', reason: 'sends'});
+	expect(decideRetry({...attempt, isNotExecuted: true, attempts: attemptLimit})).toEqual({kind: 'stop', reason: 'sends'});
 	expect(decideRetry({...attempt, remainingTime: 5})).toEqual({kind: 'stop', reason: 'deadline'});
 });
 
--- a/packages/routing/src/retry.ts
+++ b/packages/routing/src/retry.ts
@@ -22,7 +22,7 @@
 		| {kind: 'stop'; reason: 'may-have-run' | 'upstreams' | 'sends' | 'deadline'};
 
 /** Maximum number of attempts of one request, including rejected ones. */
-export const maxAttempts = 4;
+export const attemptLimit = 4;
 
 /** Remaining time below which a retry isn't worthwhile. */
 const minRemainingTime: Milliseconds = 20;
@@ -37,7 +37,7 @@
 		return {kind: 'stop', reason: 'upstreams'};
 	}
 
-	if (attempt.attempts >= maxAttempts) {
+	if (attempt.attempts >= attemptLimit) {
 		return {kind: 'stop', reason: 'sends'};
 	}
 
