--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -129,7 +129,7 @@
 		body: run.body,
 		resume: progress.tokens === 0 ? undefined : {text: progress.text, tokens: progress.tokens},
 		stopSignal: run.stopSignal,
-		preemptionSignal: grant.yieldSignal,
+		preemptionSignal: grant.preemptionSignal,
 		writer: run.writer,
 	});
 	const end = attempt.result.kind === 'lost' ? {...attempt, result: await detectCrash(context.upstreams, address, attempt.result)} : attempt;
--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -32,7 +32,7 @@
 
 		this.#running.set(request.id, upstream);
 		return {
-			kind: 'granted', upstream, priority: 0, yieldSignal: new AbortController().signal,
+			kind: 'granted', upstream, priority: 0, preemptionSignal: new AbortController().signal,
 		};
 	};
 
--- a/packages/scheduler/src/client/policy-client.ts
+++ b/packages/scheduler/src/client/policy-client.ts
@@ -57,12 +57,12 @@
 			return this.#createRefusal('no-upstream');
 		}
 
-		const askedAt = clock.monotonic();
+		const requestedAt = clock.monotonic();
 		return new Promise(resolve => {
 			this.#waiting++;
 			this.#bytes += bytes;
 			this.#enqueue({
-				ticket, group, bytes, askedAt, resolve, rank: ticket.rank, deadline: askedAt + ticket.slack, hasMoved: false, yieldController: new AbortController(),
+				ticket, group, bytes, requestedAt, resolve, rank: ticket.rank, deadline: requestedAt + ticket.slack, hasMoved: false, preemptionController: new AbortController(),
 			});
 		});
 	};
@@ -185,7 +185,7 @@
 
 	#applyToCurrentAttempt(held: HeldRequest, decision: Decision): void {
 		if (decision.kind === 'yield') {
-			held.yieldController.abort();
+			held.preemptionController.abort();
 		} else if (held.upstream === undefined) {
 			this.#applyToWaiting(held, decision);
 		}
@@ -197,7 +197,7 @@
 				held.upstream = decision.upstream;
 				this.#recordWait(held);
 				this.#resolveWaiting(held, {
-					kind: 'granted', upstream: decision.upstream, priority: decision.priority, yieldSignal: held.yieldController.signal,
+					kind: 'granted', upstream: decision.upstream, priority: decision.priority, preemptionSignal: held.preemptionController.signal,
 				});
 				break;
 			}
@@ -235,7 +235,7 @@
 
 	#recordWait(held: HeldRequest): void {
 		const {clock, metrics} = this.#options;
-		metrics.record('grant_wait_ms', clock.monotonic() - held.askedAt, {rank: String(held.rank)});
+		metrics.record('grant_wait_ms', clock.monotonic() - held.requestedAt, {rank: String(held.rank)});
 	}
 
 	#tick(): void {
--- a/packages/scheduler/src/client/tickets.ts
+++ b/packages/scheduler/src/client/tickets.ts
@@ -39,8 +39,8 @@
 };
 
 /** Returns the ticket of a held request with its slack and wait as of now. */
-export const getCurrentTicket = ({ticket, askedAt}: HeldRequest, now: Milliseconds): Ticket => {
-	const elapsed = now - askedAt;
+export const getCurrentTicket = ({ticket, requestedAt}: HeldRequest, now: Milliseconds): Ticket => {
+	const elapsed = now - requestedAt;
 	return {...ticket, slack: Math.round(ticket.slack - elapsed), waited: Math.round(ticket.waited + elapsed)};
 };
 
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -14,7 +14,7 @@
 		/** Priority for the engine; the lowest number goes first. */
 		priority: number;
 		/** Aborted when the request must yield its slot. */
-		yieldSignal: AbortSignal;
+		preemptionSignal: AbortSignal;
 	}
 	| {kind: 'shed'; reason: ShedReason; retryAfter: Milliseconds}
 	/** The host withdrew the request before it was granted a slot. */
@@ -78,7 +78,7 @@
 	rank: Rank;
 	bytes: number;
 	/** By the monotonic clock. */
-	askedAt: Milliseconds;
+	requestedAt: Milliseconds;
 	/** By the monotonic clock. */
 	deadline: Milliseconds;
 	/** Absent while the request waits. */
@@ -88,7 +88,7 @@
 	/** Resolves the promise that the caller waits for. */
 	resolve: (grant: GrantOutcome) => void;
 	/** Aborts the yield signal of the grant. */
-	yieldController: AbortController;
+	preemptionController: AbortController;
 };
 
 /** Who grants this host the slots of a group: `owner` is the group's owner; `alone`, in degraded mode, this host itself. */
--- a/packages/scheduler/src/testing/load.ts
+++ b/packages/scheduler/src/testing/load.ts
@@ -82,7 +82,7 @@
 		return;
 	}
 
-	const outcome = await generate(state, grant.upstream, grant.yieldSignal);
+	const outcome = await generate(state, grant.upstream, grant.preemptionSignal);
 	result.service += outcome.duration;
 	host.client.reportEnd({
 		request: request.id, attempt: number, kind: outcome.yielded ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefillTime, duration: outcome.duration,
@@ -95,7 +95,7 @@
 	}
 };
 
-const generate = async ({run, request, stream, tokens, done}: AttemptState, upstream: string, yieldSignal: AbortSignal): Promise<{yielded: boolean; tokens: number; duration: Milliseconds}> => {
+const generate = async ({run, request, stream, tokens, done}: AttemptState, upstream: string, preemptionSignal: AbortSignal): Promise<{yielded: boolean; tokens: number; duration: Milliseconds}> => {
 	const {clock} = run.fleet;
 	const slowdown = run.slowdowns.get(upstream) ?? 1;
 	const started = clock.now();
@@ -106,7 +106,7 @@
 	}
 
 	let generated = 1;
-	while (generated + done < tokens && !yieldSignal.aborted) {
+	while (generated + done < tokens && !preemptionSignal.aborted) {
 		const batch = Math.min(10, tokens - done - generated);
 		// eslint-disable-next-line no-await-in-loop -- Tokens come one after another.
 		await clock.sleep(batch * timePerOutputToken * slowdown);
