--- a/packages/claims/src/commands/claim-client.test.ts
+++ b/packages/claims/src/commands/claim-client.test.ts
@@ -8,9 +8,9 @@
 } from '../index.js';
 
 const start = Date.UTC(2026, 0, 1);
-const createTimedKey = (time: number, end = 0): string => {
+const createTimedKey = (time: number, suffix = 0): string => {
 	const hex = time.toString(16).padStart(12, '0');
-	return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-${end.toString(16).padStart(12, '0')}`;
+	return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-${suffix.toString(16).padStart(12, '0')}`;
 };
 
 const createFleet = (getOwner = (): string | undefined => undefined) => {
@@ -41,12 +41,12 @@
 	const a = createHost('a', 1);
 	const b = createHost('b', 2);
 	const owners: Record<string, typeof a.owner> = {a: a.owner, b: b.owner};
-	/** Lets time pass until the promise is settled. */
-	const finish = async <Value>(promise: Promise<Value>): Promise<Value> => {
+	/** Advances the clock until the promise is settled. */
+	const runUntilSettled = async <Value>(promise: Promise<Value>): Promise<Value> => {
 		const done = new Set<boolean>();
 		void promise.then(() => done.add(true));
 		for (let round = 0; round < 1000 && done.size === 0; round++) {
-			// eslint-disable-next-line no-await-in-loop -- Time passes in small steps.
+			// eslint-disable-next-line no-await-in-loop -- The clock advances in small steps.
 			await clock.advance(10);
 		}
 
@@ -54,7 +54,7 @@
 	};
 
 	return {
-		clock, keyValue, gone, down, a: a.client, b: b.client, finish,
+		clock, keyValue, gone, down, a: a.client, b: b.client, runUntilSettled,
 	};
 };
 
@@ -65,107 +65,107 @@
 for (const key of [createTimedKey(start), 'order-17']) {
 	const kind = key.length > 30 ? 'timed' : 'untimed';
 
-	test(`of two hosts one starts, ${kind}`, async () => {
-		const {a, b, finish} = createFleet();
-		const decisions = await finish(Promise.all([a.claim(createRequest('a', 1, key)), b.claim(createRequest('b', 1, key))]));
+	test(`only one of two concurrent claims starts, ${kind} key`, async () => {
+		const {a, b, runUntilSettled} = createFleet();
+		const decisions = await runUntilSettled(Promise.all([a.claim(createRequest('a', 1, key)), b.claim(createRequest('b', 1, key))]));
 		expect(decisions.map(({kind}) => kind).toSorted()).toEqual(['in-progress', 'start']);
 	});
 
-	test(`a resend gets the stored answer, ${kind}`, async () => {
-		const {a, b, finish} = createFleet();
-		await finish(a.claim(createRequest('a', 1, key)));
+	test(`a repeated request gets the stored response, ${kind} key`, async () => {
+		const {a, b, runUntilSettled} = createFleet();
+		await runUntilSettled(a.claim(createRequest('a', 1, key)));
 		a.settle({key: createRequest('a', 1, key).key, request: 'a.1.1', outcome: {kind: 'finished', status: 201, body: 'cut'}});
-		expect(await finish(a.drain())).toBe(0);
-		expect(await finish(b.claim(createRequest('b', 1, key)))).toMatchObject({kind: 'done', claim: {outcome: {status: 201, body: 'cut'}}});
-		expect(await finish(b.claim(createRequest('b', 2, key, 'other')))).toEqual({kind: 'mismatch'});
+		expect(await runUntilSettled(a.drain())).toBe(0);
+		expect(await runUntilSettled(b.claim(createRequest('b', 1, key)))).toMatchObject({kind: 'done', claim: {outcome: {status: 201, body: 'cut'}}});
+		expect(await runUntilSettled(b.claim(createRequest('b', 2, key, 'other')))).toEqual({kind: 'mismatch'});
 	});
 
-	test(`a lost reply still starts once, ${kind}`, async () => {
-		const {a, b, keyValue, finish} = createFleet();
+	test(`a claim whose write reply is lost starts once, ${kind} key`, async () => {
+		const {a, b, keyValue, runUntilSettled} = createFleet();
 		keyValue.failWrites('lost-reply');
-		expect(await finish(a.claim(createRequest('a', 1, key)))).toMatchObject({kind: 'start'});
-		expect(await finish(b.claim(createRequest('b', 1, key)))).toMatchObject({kind: 'in-progress'});
+		expect(await runUntilSettled(a.claim(createRequest('a', 1, key)))).toMatchObject({kind: 'start'});
+		expect(await runUntilSettled(b.claim(createRequest('b', 1, key)))).toMatchObject({kind: 'in-progress'});
 	});
 }
 
-test('an attempt given up never starts and frees its key', async () => {
-	const {a, b, keyValue, finish, clock} = createFleet();
+test('an attempt that was given up never starts and releases its key', async () => {
+	const {a, b, keyValue, runUntilSettled, clock} = createFleet();
 	keyValue.setFaults({
 		chances: {
 			'lost-reply': 0, late: 0, dropped: 1, refused: 0,
 		},
 	});
-	expect(await finish(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable', undetermined: true});
+	expect(await runUntilSettled(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable', undetermined: true});
 	keyValue.setFaults({
 		chances: {
 			'lost-reply': 0, late: 0, dropped: 0, refused: 0,
 		},
 	});
 	await clock.advance(20_000);
-	expect(await finish(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable'});
-	expect(await finish(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'start'});
+	expect(await runUntilSettled(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable'});
+	expect(await runUntilSettled(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'start'});
 });
 
-test('an outage refuses and holds settlements back', async () => {
-	const {a, keyValue, finish, clock} = createFleet();
-	await finish(a.claim(createRequest('a', 1)));
+test('an outage refuses claims and delays settlements', async () => {
+	const {a, keyValue, runUntilSettled, clock} = createFleet();
+	await runUntilSettled(a.claim(createRequest('a', 1)));
 	keyValue.setFaults({outage: true});
 	a.settle({key: createRequest('a', 1).key, request: 'a.1.1', outcome: {kind: 'finished', status: 200}});
-	expect(await finish(a.claim(createRequest('a', 2, createTimedKey(start, 1))))).toEqual({kind: 'unavailable', reason: 'outage', undetermined: false});
+	expect(await runUntilSettled(a.claim(createRequest('a', 2, createTimedKey(start, 1))))).toEqual({kind: 'unavailable', reason: 'outage', undetermined: false});
 	keyValue.setFaults({outage: false});
 	await clock.advance(20_000);
-	expect(await finish(a.readClaim(createRequest('a', 1).key))).toMatchObject({kind: 'found', claim: {outcome: {kind: 'finished'}}});
+	expect(await runUntilSettled(a.readClaim(createRequest('a', 1).key))).toMatchObject({kind: 'found', claim: {outcome: {kind: 'finished'}}});
 });
 
-test('a host that is gone leaves its claim unknown', async () => {
-	const {a, b, gone, finish} = createFleet();
-	await finish(a.claim(createRequest('a', 1)));
+test('the claim of a host that is gone has an unknown outcome', async () => {
+	const {a, b, gone, runUntilSettled} = createFleet();
+	await runUntilSettled(a.claim(createRequest('a', 1)));
 	gone.add('a');
-	expect(await finish(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'unknown', claim: {request: 'a.1.1'}});
+	expect(await runUntilSettled(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'unknown', claim: {request: 'a.1.1'}});
 });
 
-test('a host claims itself when the owner is down', async () => {
-	const {a, down, finish} = createFleet(() => 'b');
+test('a host stores the claim itself when the owner is unreachable', async () => {
+	const {a, down, runUntilSettled} = createFleet(() => 'b');
 	down.add('b');
-	expect(await finish(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'start'});
+	expect(await runUntilSettled(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'start'});
 });
 
-test('joins until the first has ended', async () => {
-	const {a, b, finish, clock} = createFleet(() => 'a');
-	await finish(a.claim(createRequest('a', 1)));
-	const joined = b.join(createRequest('b', 1), 5000);
+test('waits until the request in progress has ended', async () => {
+	const {a, b, runUntilSettled, clock} = createFleet(() => 'a');
+	await runUntilSettled(a.claim(createRequest('a', 1)));
+	const decision = b.join(createRequest('b', 1), 5000);
 	await clock.advance(500);
 	a.settle({key: createRequest('a', 1).key, request: 'a.1.1', outcome: {kind: 'finished', status: 200}});
-	expect(await finish(joined)).toMatchObject({kind: 'done'});
+	expect(await runUntilSettled(decision)).toMatchObject({kind: 'done'});
 });
 
-test('refuses keys out of time', async () => {
-	const {a, finish} = createFleet();
-	const {retention, aheadLimit} = claimLimits;
-	expect(await finish(a.claim(createRequest('a', 1, createTimedKey(start - retention - 1))))).toEqual({kind: 'expired'});
-	expect(await finish(a.claim(createRequest('a', 2, createTimedKey(start + aheadLimit + 1000))))).toMatchObject({kind: 'invalid'});
+test('refuses keys whose timestamp is too old or too far in the future', async () => {
+	const {a, runUntilSettled} = createFleet();
+	const {retention, maxTimestampLead} = claimLimits;
+	expect(await runUntilSettled(a.claim(createRequest('a', 1, createTimedKey(start - retention - 1))))).toEqual({kind: 'expired'});
+	expect(await runUntilSettled(a.claim(createRequest('a', 2, createTimedKey(start + maxTimestampLead + 1000))))).toMatchObject({kind: 'invalid'});
 });
 
-test('finds a booking by its request id', async () => {
-	const {a, b, finish} = createFleet();
+test('finds a claim by its request id', async () => {
+	const {a, b, runUntilSettled} = createFleet();
 	const request = createRequest('a', 1);
 	const id = createBookingId(request.request, request.key);
-	await finish(a.claim({...request, request: id}));
-	expect(await finish(b.readClaimOfRequest(id))).toMatchObject({kind: 'found', claim: {customer: 'kopi'}});
+	await runUntilSettled(a.claim({...request, request: id}));
+	expect(await runUntilSettled(b.readClaimOfRequest(id))).toMatchObject({kind: 'found', claim: {customer: 'kopi'}});
 });
 
-test('groups many claims in few writes', async () => {
-	const {a, keyValue, finish} = createFleet();
+test('batches many claims into few writes', async () => {
+	const {a, keyValue, runUntilSettled} = createFleet();
 	keyValue.setFaults({latency: 5});
 	const requests = Array.from({length: 640}, (_, index) => createRequest('a', index, createTimedKey(start, index)));
-	const decisions = await finish(Promise.all(requests.map(async request => a.claim(request))));
+	const decisions = await runUntilSettled(Promise.all(requests.map(async request => a.claim(request))));
 	expect(decisions.every(({kind}) => kind === 'start')).toBe(true);
 	expect(keyValue.getCalls().writes).toBeLessThan(100);
 });
 
-test('an answer never rests on an old state', async () => {
+test('a decision never rests on a stale state', async () => {
 	let owner = 'a';
-	const {a, b, keyValue, finish} = createFleet(() => owner);
+	const {a, b, keyValue, runUntilSettled} = createFleet(() => owner);
 	const {key} = createRequest('a', 1);
 	owner = 'b';
 	keyValue.setFaults({
@@ -173,28 +173,28 @@
 			'lost-reply': 0, late: 0, dropped: 0, refused: 1,
 		},
 	});
-	expect(await finish(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'unavailable', undetermined: false});
+	expect(await runUntilSettled(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'unavailable', undetermined: false});
 	keyValue.setFaults({
 		chances: {
 			'lost-reply': 0, late: 0, dropped: 0, refused: 0,
 		},
 	});
 	owner = 'a';
-	expect(await finish(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'start'});
+	expect(await runUntilSettled(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'start'});
 	owner = 'b';
 	a.settle({key, request: 'a.1.1', outcome: {kind: 'finished', status: 200}});
-	await finish(a.drain());
-	expect(await finish(a.readClaim(key))).toMatchObject({claim: {outcome: {kind: 'finished'}}});
+	await runUntilSettled(a.drain());
+	expect(await runUntilSettled(a.readClaim(key))).toMatchObject({claim: {outcome: {kind: 'finished'}}});
 });
 
-test('a late claim of a released attempt takes no key', async () => {
-	const {a, b, finish} = createFleet();
+test('a late claim of a released attempt does not take the key', async () => {
+	const {a, b, runUntilSettled} = createFleet();
 	const {key} = createRequest('a', 1);
 	a.settle({key, request: 'a.1.1', outcome: {kind: 'not-run'}});
-	await finish(a.drain());
-	await finish(a.claim(createRequest('a', 2)));
+	await runUntilSettled(a.drain());
+	await runUntilSettled(a.claim(createRequest('a', 2)));
 	a.settle({key, request: 'a.1.2', outcome: {kind: 'not-run'}});
-	await finish(a.drain());
-	expect(await finish(b.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable'});
-	expect(await finish(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'start'});
+	await runUntilSettled(a.drain());
+	expect(await runUntilSettled(b.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable'});
+	expect(await runUntilSettled(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'start'});
 });
--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -3,13 +3,13 @@
 import type {
 	ClaimDecision, ClaimKey, ClaimRequest, ClaimSettlement, HostId, Incarnation, KeyValueService, Milliseconds, PeerCalls, RequestId, SettlementOutcome,
 } from '@gentianlift/types';
-import {readClaim, readClaimOfRequest, type ClaimRead} from '../queries/read-claim.js';
+import {readClaim, readClaimByRequestId, type ClaimRead} from '../queries/read-claim.js';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
 import {getOwnerKey, getSlot} from '../slots/slot.js';
 import {createClaimOwner, type ClaimOwner} from './claim-owner.js';
 import {createSettlementQueue} from './settlement-queue.js';
 
-/** What the client of claims needs. */
+/** Dependencies and options of a claim client. */
 export type ClaimClientOptions = {
 	clock: Clock;
 	random: Random;
@@ -17,64 +17,68 @@
 	self: HostId;
 	keyValue: KeyValueService;
 	peers: Pick<PeerCalls, 'claim' | 'settleClaim'>;
-	/** Host that groups the writes of a slot; undefined when none is known. */
+	/** Returns the host that batches the writes of a slot; undefined when none is known. */
 	getOwner: (ownerKey: string) => HostId | undefined;
-	/** This host's own owner, whose slots are shared; created if absent. */
+	/** This host's claim owner, whose slot writer the client uses too; created if absent. */
 	owner?: ClaimOwner;
+	/** Whether the incarnation of a host is known to have ended; false while that is uncertain. */
 	isGone?: (host: HostId, incarnation: Incarnation) => boolean;
 	limits?: ClaimLimits;
 };
 
-/** Claims non-idempotent requests before they start. */
+/** Claims non-idempotent requests before they start, so that each executes at most once. */
 export type ClaimClient = {
-	/** Only `start` lets the request be sent to an upstream, and only once for a request id. */
+	/** Claims the key of a request. Only the decision `start` allows sending the request to an upstream, and only once per request id. */
 	claim: (request: ClaimRequest) => Promise<ClaimDecision>;
-	/** Claims like `claim`, and while another request with the key is under way waits for its outcome up to `limit`. */
+	/** Claims the key of a request; while another request with the key is in progress, waits up to `limit` for its outcome. */
 	join: (request: ClaimRequest, limit: Milliseconds) => Promise<ClaimDecision>;
 	/**
-	Stores how a request ended, in the background and until the service has it.
-	`not-run` may only be given if the request was never written to an upstream or the upstream refused it, and it must not be sent after.
+	Stores the outcome of a request in the background, retrying until the service has stored it.
+	The outcome `not-run` is allowed only if the request was never written to an upstream or the upstream refused it, and the request must not be sent afterwards.
 	*/
 	settle: (settlement: ClaimSettlement) => void;
+	/** Reads the claim of a key from the service. */
 	readClaim: (key: ClaimKey) => Promise<ClaimRead>;
-	/** Finds the claim of a booking by its request id, also when the host that ran it is gone. */
+	/** Finds the claim of a non-idempotent request by its id, even if the host that ran it is gone. */
 	readClaimOfRequest: (request: RequestId) => Promise<ClaimRead>;
-	/** Waits until all settlements are stored; gets the number left. */
+	/** Waits until all settlements are stored, at most for `limit`; returns the number left. */
 	drain: (limit?: Milliseconds) => Promise<number>;
 };
 
-const drainLimit = 10_000;
-const givenUpLimit = 10_000;
-const joinDelay = {first: 100, longest: 1000};
-const joinGrowth = 1.5;
+/** Default time for draining, in milliseconds. */
+const drainTimeout = 10_000;
+const maxGivenUpAttempts = 10_000;
+/** Delays in milliseconds between polls for the outcome of another request. */
+const pollDelay = {initial: 100, max: 1000};
+const pollDelayGrowth = 1.5;
 
-/** Remembers attempts that were given up, so that they never start. */
-const createGivenUp = () => {
+/** Creates the set of attempts that were given up and must never start; the oldest are dropped beyond its limit. */
+const createGivenUpAttempts = () => {
 	const requests = new Set<RequestId>();
 	return {
 		has: (request: RequestId) => requests.has(request),
 		add(request: RequestId) {
 			requests.add(request);
 			const [oldest] = requests;
-			if (requests.size > givenUpLimit && oldest !== undefined) {
+			if (requests.size > maxGivenUpAttempts && oldest !== undefined) {
 				requests.delete(oldest);
 			}
 		},
 	};
 };
 
-type Sender = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimOwner; limits: ClaimLimits};
+type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimOwner; limits: ClaimLimits};
 
-const createSender = ({
+const createClaimSender = ({
 	self, peers, getOwner, metrics, owner, limits,
-}: Sender) => {
+}: SenderOptions) => {
 	const getRemoteOwner = (key: ClaimKey): HostId | undefined => {
 		const host = getOwner(getOwnerKey(getSlot(key, limits)));
 		return host === self ? undefined : host;
 	};
 
-	/** Claims at this host itself after the slot's owner gave no answer. The owner may have stored the claim or may still do it. */
-	const claimInstead = async (request: ClaimRequest, reason: string): Promise<ClaimDecision> => {
+	/** Claims at this host after the slot's owner gave no answer. The owner may have stored the claim, or may still store it. */
+	const claimLocally = async (request: ClaimRequest, reason: string): Promise<ClaimDecision> => {
 		metrics.count('claim_fallbacks', {reason});
 		const decision = await owner.claim(self, request);
 		return decision.kind === 'unavailable' ? {...decision, undetermined: decision.undetermined === true || reason === 'unknown'} : decision;
@@ -88,7 +92,7 @@
 			}
 
 			const outcome = await peers.claim(host, request);
-			return outcome.kind === 'answered' ? outcome.answer : claimInstead(request, outcome.kind);
+			return outcome.kind === 'answered' ? outcome.answer : claimLocally(request, outcome.kind);
 		},
 		async settle(settlement: ClaimSettlement): Promise<SettlementOutcome> {
 			const host = getRemoteOwner(settlement.key);
@@ -102,18 +106,18 @@
 	};
 };
 
-/** Creates the client of claims. */
+/** Creates the claim client of a host. */
 export const createClaimClient = (options: ClaimClientOptions): ClaimClient => {
 	const {clock, random, metrics, limits = options.owner?.limits ?? claimLimits} = options;
 	const owner = options.owner ?? createClaimOwner({...options, limits});
-	const sender = createSender({...options, owner, limits});
+	const sender = createClaimSender({...options, owner, limits});
 	const settlements = createSettlementQueue({
 		clock, random, metrics, send: sender.settle,
 	});
-	const givenUp = createGivenUp();
+	const givenUp = createGivenUpAttempts();
 
-	/** Makes sure that an attempt whose claim may be stored after all never starts, and frees its key. */
-	const giveUp = (request: ClaimRequest): void => {
+	/** Ensures that an attempt whose claim may be stored after all never starts, and releases its key. */
+	const giveUpAttempt = (request: ClaimRequest): void => {
 		givenUp.add(request.request);
 		settlements.add({key: request.key, request: request.request, outcome: {kind: 'not-run'}});
 	};
@@ -125,7 +129,7 @@
 
 		const decision = await sender.claim(request);
 		if (decision.kind === 'unavailable' && decision.undetermined === true) {
-			giveUp(request);
+			giveUpAttempt(request);
 		}
 
 		return decision;
@@ -135,18 +139,18 @@
 		claim,
 		async join(request, limit) {
 			const deadline = clock.monotonic() + limit;
-			let delay = joinDelay.first;
+			let delay = pollDelay.initial;
 			for (;;) {
-				// eslint-disable-next-line no-await-in-loop -- Asks again until the other request has ended.
+				// eslint-disable-next-line no-await-in-loop -- Polls until the other request has ended.
 				const decision = await claim(request);
 				const wait = Math.min(delay * (0.5 + random.next()), deadline - clock.monotonic());
 				if (decision.kind !== 'in-progress' || wait <= 0) {
 					return decision;
 				}
 
-				// eslint-disable-next-line no-await-in-loop -- As above.
+				// eslint-disable-next-line no-await-in-loop -- Waits between polls.
 				await clock.sleep(wait);
-				delay = Math.min(joinDelay.longest, delay * joinGrowth);
+				delay = Math.min(pollDelay.max, delay * pollDelayGrowth);
 			}
 		},
 		settle(settlement) {
@@ -157,7 +161,7 @@
 			settlements.add(settlement);
 		},
 		readClaim: async key => readClaim(owner.slots, key, limits),
-		readClaimOfRequest: async request => readClaimOfRequest(owner.slots, request),
-		drain: async (limit = drainLimit) => settlements.drain(limit),
+		readClaimOfRequest: async request => readClaimByRequestId(owner.slots, request),
+		drain: async (limit = drainTimeout) => settlements.drain(limit),
 	};
 };
--- a/packages/claims/src/commands/claim-owner.ts
+++ b/packages/claims/src/commands/claim-owner.ts
@@ -4,38 +4,39 @@
 	ClaimDecision, ClaimRequest, ClaimSettlement, HostId, Incarnation, KeyValueService, SettlementOutcome,
 } from '@gentianlift/types';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
-import {createSlotCalls} from '../slots/slot-calls.js';
+import {createSlotStore} from '../slots/slot-store.js';
 import {createSlotWriter, type SlotWriter} from '../slots/slot-writer.js';
 import {getSlot} from '../slots/slot.js';
 
-/** What the owner's side of claims needs. */
+/** Dependencies and options of a claim owner. */
 export type ClaimOwnerOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	keyValue: KeyValueService;
-	/** Whether a run of a host is known to have ended; false while that is open. */
+	/** Whether the incarnation of a host is known to have ended; false while that is uncertain. */
 	isGone?: (host: HostId, incarnation: Incarnation) => boolean;
 	limits?: ClaimLimits;
 };
 
-/** Stores claims in their slots. Any host may do it for any slot; the slot's owner groups those of all hosts. */
+/** Stores claims in their slots. Any host may write any slot; routing the claims of all hosts through the slot's owner lets it batch their writes. */
 export type ClaimOwner = {
+	/** Decides on a claim, and stores it if the request may start. Never rejects. */
 	claim: (from: HostId, request: ClaimRequest) => Promise<ClaimDecision>;
-	/** Never throws; `retry` is set when the service could not be written. */
+	/** Stores a settlement. Never rejects; `retry` is set when the write to the service failed. */
 	settle: (from: HostId, settlement: ClaimSettlement) => Promise<SettlementOutcome>;
 	slots: SlotWriter;
 	limits: ClaimLimits;
 };
 
-/** Creates the owner's side of claims. */
+/** Creates the claim owner of a host. */
 export const createClaimOwner = (options: ClaimOwnerOptions): ClaimOwner => {
 	const {
 		clock, random, metrics, keyValue, limits = claimLimits, isGone = () => false,
 	} = options;
-	const calls = createSlotCalls(keyValue, metrics);
+	const store = createSlotStore(keyValue, metrics);
 	const slots = createSlotWriter({
-		clock, random, calls, limits, isGone,
+		clock, random, store, limits, isGone,
 	});
 
 	const claim = async (request: ClaimRequest): Promise<ClaimDecision> => {
--- a/packages/claims/src/commands/claim-removal.test.ts
+++ b/packages/claims/src/commands/claim-removal.test.ts
@@ -15,7 +15,7 @@
 
 const createHosts = () => {
 	const clock = createManualClock(start);
-	const slowClock = {...clock, now: () => clock.now() - (26 * hour)};
+	const laggingClock = {...clock, now: () => clock.now() - (26 * hour)};
 	const keyValue = createMemoryKeyValue({clock, random: createRandom(1)});
 	const shared = {
 		random: createRandom(2), metrics: createMetrics(), keyValue, limits,
@@ -24,40 +24,40 @@
 		clock,
 		keyValue,
 		owner: createClaimOwner({...shared, clock}),
-		slow: createClaimOwner({...shared, clock: slowClock}),
+		laggingOwner: createClaimOwner({...shared, clock: laggingClock}),
 		removal: createClaimRemoval({
 			...shared, clock, self: 'a', getOwner: () => 'a',
 		}),
 	};
 };
 
-const getSlots = async (keyValue: KeyValueService): Promise<number> => {
+const countSlots = async (keyValue: KeyValueService): Promise<number> => {
 	const list = await keyValue.list('claims/t/');
 	return list.kind === 'found' ? list.entries.length : -1;
 };
 
-test('removes old buckets and nothing else', async () => {
+test('removes a bucket only once it is past the retention', async () => {
 	const {clock, keyValue, owner, removal} = createHosts();
 	await removal.remove();
 	await owner.claim('a', request);
 	removal.start();
 	await clock.advance(limits.retention);
-	expect(await getSlots(keyValue)).toBe(1);
+	expect(await countSlots(keyValue)).toBe(1);
 	await clock.advance(2 * hour);
-	expect(await getSlots(keyValue)).toBe(0);
+	expect(await countSlots(keyValue)).toBe(0);
 });
 
-test('a claim that was removed never starts anew, even by a slow clock', async () => {
-	const {clock, keyValue, owner, slow, removal} = createHosts();
+test('a request whose claim was removed never starts again, even on a host whose clock is behind', async () => {
+	const {clock, keyValue, owner, laggingOwner, removal} = createHosts();
 	await removal.remove();
 	expect(await owner.claim('a', request)).toMatchObject({kind: 'start'});
 	removal.start();
 	await clock.advance(26 * hour);
-	expect(await getSlots(keyValue)).toBe(0);
+	expect(await countSlots(keyValue)).toBe(0);
 	expect(await owner.claim('b', {...request, request: 'b.1.1'})).toEqual({kind: 'expired'});
-	expect(await slow.claim('b', {...request, request: 'b.1.2'})).toEqual({kind: 'expired'});
+	expect(await laggingOwner.claim('b', {...request, request: 'b.1.2'})).toEqual({kind: 'expired'});
 	await clock.advance(limits.writeInterval);
-	expect(await slow.claim('b', {...request, request: 'b.1.3'})).toEqual({kind: 'expired'});
+	expect(await laggingOwner.claim('b', {...request, request: 'b.1.3'})).toEqual({kind: 'expired'});
 	await clock.advance(limits.writeInterval);
-	expect(await getSlots(keyValue)).toBe(0);
+	expect(await countSlots(keyValue)).toBe(0);
 });
--- a/packages/claims/src/commands/claim-removal.ts
+++ b/packages/claims/src/commands/claim-removal.ts
@@ -2,35 +2,37 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {HostId, KeyValueService, Milliseconds} from '@gentianlift/types';
 import {
-	floorKey, readFloor, writeFloor, type Floor,
-} from '../slots/floor.js';
+	bucketFloorKey, readBucketFloor, writeBucketFloor, type BucketFloor,
+} from '../slots/bucket-floor.js';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
 import {getBucketPrefix} from '../slots/slot.js';
 
-/** What the removal of old claims needs. */
+/** Dependencies and options of the removal of expired claims. */
 export type ClaimRemovalOptions = {
 	clock: Clock;
 	metrics: Metrics;
 	self: HostId;
 	keyValue: KeyValueService;
+	/** Returns the host that removes claims, given the key of the bucket floor; undefined when none is known. */
 	getOwner: (ownerKey: string) => HostId | undefined;
 	limits?: ClaimLimits;
 };
 
-/** Removes buckets of timed keys that are past the retention. One host does it; more than one at a time do no harm. */
+/** Removes the buckets of timed keys that are past the retention. One host does so at a time; concurrent removals are safe. */
 export type ClaimRemoval = {
-	/** Removes some of the old buckets; gets the number of values removed. */
+	/** Removes a limited number of old buckets; returns the number of entries removed. */
 	remove: () => Promise<number>;
+	/** Starts periodic removal while this host owns the bucket floor. */
 	start: () => Cancel;
 };
 
 const minute = 60_000;
 const runInterval: Milliseconds = minute;
-/** Age past the retention at which a bucket is closed, for hosts whose clocks are behind. */
-const closeMargin: Milliseconds = 60 * minute;
-const bucketsPerRun = 60;
+/** Additional age after the retention before a bucket is closed; tolerates hosts whose clocks are behind. */
+const clockSkewMargin: Milliseconds = 60 * minute;
+const maxBucketsPerRun = 60;
 
-/** Creates the removal of a host. */
+/** Creates the claim removal of a host; it runs only after its start. */
 export const createClaimRemoval = ({
 	clock, metrics, self, keyValue, getOwner, limits = claimLimits,
 }: ClaimRemovalOptions): ClaimRemoval => {
@@ -41,7 +43,7 @@
 		}
 
 		for (const {key, revision} of list.entries) {
-			// eslint-disable-next-line no-await-in-loop -- Removals are spread over time to spare the service.
+			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the service.
 			const outcome = await keyValue.remove(key, revision);
 			metrics.count('claim_removals', {outcome: outcome.kind});
 			if (outcome.kind !== 'applied') {
@@ -52,34 +54,34 @@
 		return list.entries.length;
 	};
 
-	/** Closes the buckets that are old enough, before anything in them is removed: a claim that comes later finds them closed. */
-	const close = async (): Promise<(Floor & {revision: number}) | undefined> => {
-		const floor = await readFloor(keyValue);
+	/** Closes the buckets that are old enough and returns the bucket floor. Closing precedes removal, so that a late claim for a removed bucket is refused. */
+	const closeOldBuckets = async (): Promise<(BucketFloor & {revision: number}) | undefined> => {
+		const floor = await readBucketFloor(keyValue);
 		if (floor.kind === 'unavailable') {
 			return undefined;
 		}
 
-		const end = Math.floor((clock.now() - limits.retention - closeMargin) / limits.bucketDuration);
-		if (floor.before >= end) {
+		const endBucket = Math.floor((clock.now() - limits.retention - clockSkewMargin) / limits.bucketDuration);
+		if (floor.before >= endBucket) {
 			return floor;
 		}
 
-		const next: Floor = {before: end, removedBefore: floor.revision === 0 ? end : floor.removedBefore};
-		const outcome = await writeFloor(keyValue, next, floor.revision);
+		const next: BucketFloor = {before: endBucket, removedBefore: floor.revision === 0 ? endBucket : floor.removedBefore};
+		const outcome = await writeBucketFloor(keyValue, next, floor.revision);
 		return outcome.kind === 'applied' ? {...next, revision: outcome.revision} : undefined;
 	};
 
 	const remove = async (): Promise<number> => {
-		const floor = await close();
+		const floor = await closeOldBuckets();
 		if (floor === undefined) {
 			return 0;
 		}
 
-		const end = Math.min(floor.before, floor.removedBefore + bucketsPerRun);
+		const endBucket = Math.min(floor.before, floor.removedBefore + maxBucketsPerRun);
 		let removed = 0;
 		let bucket = floor.removedBefore;
-		for (; bucket < end; bucket++) {
-			// eslint-disable-next-line no-await-in-loop -- As above.
+		for (; bucket < endBucket; bucket++) {
+			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the service.
 			const count = await removeBucket(bucket);
 			if (count === undefined) {
 				break;
@@ -89,7 +91,7 @@
 		}
 
 		if (bucket > floor.removedBefore) {
-			await writeFloor(keyValue, {before: floor.before, removedBefore: bucket}, floor.revision);
+			await writeBucketFloor(keyValue, {before: floor.before, removedBefore: bucket}, floor.revision);
 		}
 
 		return removed;
@@ -97,7 +99,7 @@
 
 	let isRunning = false;
 	const run = async (): Promise<void> => {
-		if (isRunning || getOwner(floorKey) !== self) {
+		if (isRunning || getOwner(bucketFloorKey) !== self) {
 			return;
 		}
 
@@ -110,14 +112,14 @@
 		remove,
 		start() {
 			let cancel: Cancel;
-			const wait = (): void => {
+			const scheduleRun = (): void => {
 				cancel = clock.after(runInterval, () => {
-					wait();
+					scheduleRun();
 					void run();
 				});
 			};
 
-			wait();
+			scheduleRun();
 			return () => {
 				cancel();
 			};
--- a/packages/claims/src/commands/settlement-queue.ts
+++ b/packages/claims/src/commands/settlement-queue.ts
@@ -5,39 +5,41 @@
 } from '@gentianlift/types';
 import PQueue from 'p-queue';
 
-/** What the queue of settlements needs. */
+/** Dependencies of a settlement queue. */
 export type SettlementQueueOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	/** Tries to store a settlement once. */
+	/** Attempts once to store a settlement. */
 	send: (settlement: ClaimSettlement) => Promise<SettlementOutcome>;
 };
 
-/** Settlements that are not stored yet. It only holds requests that were under way at this host, which bounds it. */
+/** Settlements that are not stored yet. It holds only requests that were in flight at this host, so its size is bounded by their number. */
 export type SettlementQueue = {
 	add: (settlement: ClaimSettlement) => void;
-	/** Waits until all are stored, or for `limit`; gets the number left. */
+	/** Waits until all settlements are stored, at most for `limit`; returns the number left. */
 	drain: (limit: Milliseconds) => Promise<number>;
 	getSize: () => number;
 };
 
-const sendsAtOnce = 64;
-const retryDelay = {first: 250, longest: 8000};
-const longestExponent = 6;
-const drainInterval = 20;
+const maxConcurrentSends = 64;
+/** Retry delays in milliseconds, before jitter. */
+const retryDelay = {initial: 250, max: 8000};
+const maxExponent = 6;
+/** Interval in milliseconds. */
+const drainPollInterval = 20;
 
-const getRetryDelay = (round: number, random: Random): Milliseconds =>
-	Math.min(retryDelay.longest, retryDelay.first * (2 ** Math.min(round, longestExponent))) * (0.5 + random.next());
+const getRetryDelay = (retries: number, random: Random): Milliseconds =>
+	Math.min(retryDelay.max, retryDelay.initial * (2 ** Math.min(retries, maxExponent))) * (0.5 + random.next());
 
-/** Creates the queue of a host's settlements. Retries are spread at random, so that hosts don't all come at once after an outage. */
+/** Creates the settlement queue of a host. Retry delays have jitter, so that hosts don't all retry at once after an outage. */
 export const createSettlementQueue = ({
 	clock, random, metrics, send,
 }: SettlementQueueOptions): SettlementQueue => {
-	const queue = new PQueue({concurrency: sendsAtOnce});
+	const queue = new PQueue({concurrency: maxConcurrentSends});
 	const pending = new Map<RequestId, ClaimSettlement>();
 
-	const trySend = async (settlement: ClaimSettlement, round: number): Promise<void> => {
+	const attemptSend = async (settlement: ClaimSettlement, retries: number): Promise<void> => {
 		const outcome = await queue.add(async () => send(settlement));
 		if (outcome.retry !== true) {
 			pending.delete(settlement.request);
@@ -46,8 +48,8 @@
 		}
 
 		metrics.count('claim_settlement_retries');
-		clock.after(getRetryDelay(round, random), () => {
-			void trySend(settlement, round + 1);
+		clock.after(getRetryDelay(retries, random), () => {
+			void attemptSend(settlement, retries + 1);
 		});
 	};
 
@@ -59,13 +61,13 @@
 
 			pending.set(settlement.request, settlement);
 			metrics.setGauge('claim_settlements_waiting', pending.size);
-			void trySend(settlement, 0);
+			void attemptSend(settlement, 0);
 		},
 		async drain(limit) {
 			const deadline = clock.monotonic() + limit;
 			while (pending.size > 0 && clock.monotonic() < deadline) {
-				// eslint-disable-next-line no-await-in-loop -- The queue empties by itself; this only watches it.
-				await clock.sleep(drainInterval);
+				// eslint-disable-next-line no-await-in-loop -- Polls until the queue is empty.
+				await clock.sleep(drainPollInterval);
 			}
 
 			return pending.size;
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -5,6 +5,6 @@
 export {createAccounts, type Accounts, type AccountsOptions} from './queries/accounts.js';
 export {getClaimAccount} from './queries/claim-account.js';
 export type {ClaimRead} from './queries/read-claim.js';
-export {getKeyTime} from './slots/key-time.js';
+export {getKeyTimestamp} from './slots/key-timestamp.js';
 export {claimLimits, type ClaimLimits} from './slots/limits.js';
 export {createBookingId} from './slots/slot.js';
--- a/packages/claims/src/queries/account-event.ts
+++ b/packages/claims/src/queries/account-event.ts
@@ -2,7 +2,7 @@
 	Account, Attempt, AttemptOutcome, Milliseconds, RequestId, RunState, UpstreamId,
 } from '@gentianlift/types';
 
-/** What happens to a request, for its account. */
+/** Event in the life of a request that its account records. */
 export type AccountEvent
 	= | {kind: 'attempt-started'; request: RequestId; upstream: UpstreamId}
 		| {kind: 'attempt-ended'; request: RequestId; upstream: UpstreamId; outcome: AttemptOutcome; tokens: number; ran: RunState}
@@ -13,7 +13,7 @@
 		| {kind: 'cancelled'; request: RequestId; ran: RunState}
 		| {kind: 'unknown'; request: RequestId; reason: string};
 
-const closedStates = new Set<Account['state']['kind']>(['refused', 'finished', 'failed', 'cancelled', 'unknown']);
+const finalStates = new Set<Account['state']['kind']>(['refused', 'finished', 'failed', 'cancelled', 'unknown']);
 
 const endAttempt = (attempts: readonly Attempt[], event: Extract<AccountEvent, {kind: 'attempt-ended'}>, at: Milliseconds): Attempt[] =>
 	attempts.map(attempt => attempt.upstream === event.upstream && attempt.endedAt === undefined
@@ -22,22 +22,22 @@
 		}
 		: attempt);
 
-/** What is known of a request that had one attempt of each kind: it ran if any did, and it may have run if any may. */
-const joinRunStates = (before: RunState, attempt: RunState): RunState => {
-	if (before === 'ran' || attempt === 'ran') {
+/** Combines the run states of two attempts: the request ran if either did, and may have run if either may have. */
+const mergeRunStates = (previous: RunState, attempt: RunState): RunState => {
+	if (previous === 'ran' || attempt === 'ran') {
 		return 'ran';
 	}
 
-	return before === 'unknown' || attempt === 'unknown' ? 'unknown' : 'not-run';
+	return previous === 'unknown' || attempt === 'unknown' ? 'unknown' : 'not-run';
 };
 
-const getRanBefore = (account: Account): RunState => account.attempts.some(({outcome}) => outcome !== 'refused' && outcome !== 'unreachable')
+const getPreviousRunState = (account: Account): RunState => account.attempts.some(({outcome}) => outcome !== 'refused' && outcome !== 'unreachable')
 	? account.ran
 	: 'not-run';
 
-/** Applies an event to an account. An account that has ended stays as it is. */
+/** Returns the account with an event applied. An account in a final state stays unchanged. */
 export const applyAccountEvent = (account: Account, event: AccountEvent, at: Milliseconds): Account => {
-	if (closedStates.has(account.state.kind)) {
+	if (finalStates.has(account.state.kind)) {
 		return account;
 	}
 
@@ -52,8 +52,8 @@
 		}
 
 		case 'attempt-ended': {
-			const before = getRanBefore({...account, attempts: account.attempts.filter(({endedAt}) => endedAt !== undefined)});
-			return {...account, ran: joinRunStates(before, event.ran), attempts: endAttempt(account.attempts, event, at)};
+			const previous = getPreviousRunState({...account, attempts: account.attempts.filter(({endedAt}) => endedAt !== undefined)});
+			return {...account, ran: mergeRunStates(previous, event.ran), attempts: endAttempt(account.attempts, event, at)};
 		}
 
 		case 'waiting': {
--- a/packages/claims/src/queries/accounts.test.ts
+++ b/packages/claims/src/queries/accounts.test.ts
@@ -34,7 +34,7 @@
 
 const started = {kind: 'attempt-started', request: 'r', upstream: 'u'} as const;
 
-test('waiting has not run, running may have', () => {
+test('a waiting request has not run, a running one may have', () => {
 	expect(getAccount()).toMatchObject({ran: 'not-run', state: {kind: 'waiting'}});
 	expect(getAccount(started)).toMatchObject({ran: 'unknown', state: {kind: 'running'}, attempts: [{outcome: 'running'}]});
 });
@@ -46,23 +46,23 @@
 	expect(getAccount(started, refused)).toMatchObject({ran: 'not-run', attempts: [{outcome: 'refused'}]});
 });
 
-test('a cut attempt stays unknown after a refused one', () => {
-	const cut = {
+test('after an attempt that was reset, a refused one leaves the run state unknown', () => {
+	const reset = {
 		kind: 'attempt-ended', request: 'r', upstream: 'u', outcome: 'reset', tokens: 0, ran: 'unknown',
 	} as const;
 	const second = {...started, upstream: 'v'};
 	const refused = {
-		...cut, upstream: 'v', outcome: 'refused', ran: 'not-run',
+		...reset, upstream: 'v', outcome: 'refused', ran: 'not-run',
 	} as const;
-	expect(getAccount(started, cut, second, refused)).toMatchObject({ran: 'unknown'});
+	expect(getAccount(started, reset, second, refused)).toMatchObject({ran: 'unknown'});
 });
 
-test('an ended account stays as it is', () => {
+test('an event after the end leaves an account unchanged', () => {
 	const finished = {kind: 'finished', request: 'r', status: 200} as const;
 	expect(getAccount(started, finished, {kind: 'cancelled', request: 'r', ran: 'ran'})).toMatchObject({state: {kind: 'finished', status: 200}});
 });
 
-test('forgets the oldest that has ended', () => {
+test('evicts the oldest account that has ended', () => {
 	const accounts = createAccounts({clock: createManualClock(), capacity: 2});
 	accounts.open(createRequest('open'));
 	accounts.open(createRequest('ended'));
@@ -71,7 +71,7 @@
 	expect(['open', 'ended', 'new'].map(id => accounts.getAccount(id) !== undefined)).toEqual([true, false, true]);
 });
 
-test('the account of a claim says what is known', () => {
+test('derives the account of a request from its claim', () => {
 	const create = (outcome: ClaimOutcome): Claim => ({
 		customer: 'kopi', key: 'k', digest: 'd', request: 'a.1.1', host: 'a', incarnation: 1, claimedAt: 5, upstream: 'u', outcome,
 	});
--- a/packages/claims/src/queries/accounts.ts
+++ b/packages/claims/src/queries/accounts.ts
@@ -2,31 +2,31 @@
 import type {Account, ClassifiedRequest, RequestId} from '@gentianlift/types';
 import {applyAccountEvent, type AccountEvent} from './account-event.js';
 
-/** Accounts of the requests that came to this host lately. */
+/** Accounts of the recent requests of this host: their state, attempts and whether they ran. */
 export type Accounts = {
-	/** Starts the account of a request as waiting. */
+	/** Adds the account of a request, in the waiting state. */
 	open: (request: ClassifiedRequest) => void;
-	/** Applies an event; without effect for a request that isn't known. */
+	/** Applies an event to the account of its request; ignored if there is none. */
 	apply: (event: AccountEvent) => void;
 	getAccount: (id: RequestId) => Account | undefined;
 };
 
-/** What the accounts need; `capacity` is the number of requests remembered. */
+/** Dependencies and options of accounts; `capacity` is the number of accounts above which ended ones are evicted. */
 export type AccountsOptions = {clock: Clock; capacity: number};
 
-const openStates = new Set<Account['state']['kind']>(['waiting', 'running']);
+const activeStates = new Set<Account['state']['kind']>(['waiting', 'running']);
 
-/** Creates the accounts of a host. Past the capacity the oldest that has ended is forgotten. */
+/** Creates the accounts of a host. Above the capacity, the oldest account that has ended is evicted; those of active requests are kept. */
 export const createAccounts = ({clock, capacity}: AccountsOptions): Accounts => {
 	const accounts = new Map<RequestId, Account>();
 
-	const forgetEnded = (): void => {
+	const evictEnded = (): void => {
 		for (const [id, {state}] of accounts) {
 			if (accounts.size <= capacity) {
 				return;
 			}
 
-			if (!openStates.has(state.kind)) {
+			if (!activeStates.has(state.kind)) {
 				accounts.delete(id);
 			}
 		}
@@ -42,7 +42,7 @@
 				state: {kind: 'waiting', since: request.arrivedAt},
 				attempts: [],
 			});
-			forgetEnded();
+			evictEnded();
 		},
 		apply(event) {
 			const account = accounts.get(event.request);
--- a/packages/claims/src/queries/claim-account.ts
+++ b/packages/claims/src/queries/claim-account.ts
@@ -2,13 +2,13 @@
 	Account, AccountState, Attempt, AttemptOutcome, Claim, HostId, Incarnation, RunState,
 } from '@gentianlift/types';
 
-const goneReason = 'the host that ran the request is gone';
+const hostGoneReason = 'the host that ran the request is gone';
 
-const getState = (claim: Claim, isGone: boolean): AccountState => {
+const getAccountState = (claim: Claim, isGone: boolean): AccountState => {
 	const at = claim.settledAt ?? claim.claimedAt;
 	switch (claim.outcome.kind) {
 		case 'claimed': {
-			return isGone ? {kind: 'unknown', reason: goneReason, at} : {kind: 'running', since: at};
+			return isGone ? {kind: 'unknown', reason: hostGoneReason, at} : {kind: 'running', since: at};
 		}
 
 		case 'finished': {
@@ -25,11 +25,11 @@
 	}
 };
 
-const runStateOfOutcome = {
+const runStates = {
 	claimed: 'unknown', finished: 'ran', 'not-run': 'not-run', unknown: 'unknown',
 } as const satisfies Record<Claim['outcome']['kind'], RunState>;
 
-const attemptOfOutcome = {
+const attemptOutcomes = {
 	claimed: 'running', finished: 'finished', 'not-run': 'refused', unknown: 'reset',
 } as const satisfies Record<Claim['outcome']['kind'], AttemptOutcome>;
 
@@ -42,17 +42,17 @@
 		upstream: claim.upstream,
 		startedAt: claim.claimedAt,
 		...(claim.settledAt !== undefined && {endedAt: claim.settledAt}),
-		outcome: attemptOfOutcome[claim.outcome.kind],
+		outcome: attemptOutcomes[claim.outcome.kind],
 		tokens: 0,
 	}];
 };
 
-/** Gets the account of a booking from its claim, for hosts that have no account of their own. */
+/** Derives the account of a non-idempotent request from its claim, for hosts that have no account of the request. */
 export const getClaimAccount = (claim: Claim, isGone: (host: HostId, incarnation: Incarnation) => boolean): Account => ({
 	id: claim.request,
 	customer: claim.customer,
 	className: claim.className ?? '',
-	ran: runStateOfOutcome[claim.outcome.kind],
-	state: getState(claim, isGone(claim.host, claim.incarnation)),
+	ran: runStates[claim.outcome.kind],
+	state: getAccountState(claim, isGone(claim.host, claim.incarnation)),
 	attempts: getAttempts(claim),
 });
--- a/packages/claims/src/slots/apply-claim.ts
+++ b/packages/claims/src/slots/apply-claim.ts
@@ -1,25 +1,25 @@
 import type {
 	Claim, ClaimDecision, ClaimKey, ClaimRequest, HostId, Incarnation, Milliseconds,
 } from '@gentianlift/types';
-import {addGivenUp, isGivenUp} from './given-up.js';
-import {getKeyTime} from './key-time.js';
+import {addGivenUp, isGivenUp} from './given-up-attempts.js';
+import {getKeyTimestamp} from './key-timestamp.js';
 import type {ClaimLimits} from './limits.js';
 import type {CompactClaim, SlotState} from './slot-state.js';
-import {getIdentity} from './slot.js';
+import {getKeyHash} from './slot.js';
 
-/** What a decision needs beside the slot. */
+/** Inputs of a decision other than the slot's state. */
 export type ClaimContext = {
 	now: Milliseconds;
-	/** Whether a run of a host is known to have ended. */
+	/** Whether the incarnation of the host is known to have ended. */
 	isGone: (host: HostId, incarnation: Incarnation) => boolean;
 	limits: ClaimLimits;
 };
 
-/** A claim to put into the slot. */
-export type SlotChange = {identity: string; claim: Claim};
+/** A claim to write into the slot, under the hash of its key. */
+export type SlotChange = {keyHash: string; claim: Claim};
 
-/** A decision, and the change that has to be stored before the decision may be told. */
-export type ClaimStep = {decision: ClaimDecision; change?: SlotChange};
+/** A decision, and the change that must be stored before the decision is returned to the requester. */
+export type ClaimTransition = {decision: ClaimDecision; change?: SlotChange};
 
 const createClaim = (request: ClaimRequest, now: Milliseconds): Claim => ({
 	...request.key,
@@ -32,33 +32,33 @@
 	outcome: {kind: 'claimed'},
 });
 
-/** Gets the refusal of a key whose own time is out of bounds; undefined if it may be claimed. */
-export const getTimeRefusal = (key: ClaimKey, now: Milliseconds, limits: ClaimLimits): ClaimDecision | undefined => {
-	const time = getKeyTime(key.key);
-	if (time === undefined) {
+/** Returns the decision that refuses a key whose timestamp is too old or too far in the future; undefined if the key may be claimed. */
+export const getTimestampRefusal = (key: ClaimKey, now: Milliseconds, limits: ClaimLimits): ClaimDecision | undefined => {
+	const timestamp = getKeyTimestamp(key.key);
+	if (timestamp === undefined) {
 		return undefined;
 	}
 
-	if (time < now - limits.retention) {
+	if (timestamp < now - limits.retention) {
 		return {kind: 'expired'};
 	}
 
-	return time > now + limits.aheadLimit ? {kind: 'invalid', reason: 'the time in the key is ahead'} : undefined;
+	return timestamp > now + limits.maxTimestampLead ? {kind: 'invalid', reason: 'the time in the key is ahead'} : undefined;
 };
 
-const createStart = (request: ClaimRequest, {now, limits}: ClaimContext, before?: Claim): ClaimStep => {
-	const refusal = getTimeRefusal(request.key, now, limits);
+const createStartTransition = (request: ClaimRequest, {now, limits}: ClaimContext, previous?: Claim): ClaimTransition => {
+	const refusal = getTimestampRefusal(request.key, now, limits);
 	if (refusal !== undefined) {
 		return {decision: refusal};
 	}
 
-	const claim: Claim = {...createClaim(request, now), ...(before !== undefined && {givenUp: addGivenUp(before, before.request)})};
-	return {decision: {kind: 'start', claim}, change: {identity: getIdentity(request.key), claim}};
+	const claim: Claim = {...createClaim(request, now), ...(previous !== undefined && {givenUp: addGivenUp(previous, previous.request)})};
+	return {decision: {kind: 'start', claim}, change: {keyHash: getKeyHash(request.key), claim}};
 };
 
 const givenUpDecision: ClaimDecision = {kind: 'unavailable', reason: 'the attempt was given up'};
 
-const getOwnDecision = (claim: Claim): ClaimDecision => {
+const getDecisionForSameAttempt = (claim: Claim): ClaimDecision => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
 			return {kind: 'start', claim};
@@ -78,7 +78,7 @@
 	}
 };
 
-const applyToOther = (claim: Claim, request: ClaimRequest, context: ClaimContext): ClaimStep => {
+const applyToOtherAttempt = (claim: Claim, request: ClaimRequest, context: ClaimContext): ClaimTransition => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
 			return {decision: {kind: context.isGone(claim.host, claim.incarnation) ? 'unknown' : 'in-progress', claim}};
@@ -89,7 +89,7 @@
 		}
 
 		case 'not-run': {
-			return createStart(request, context, claim);
+			return createStartTransition(request, context, claim);
 		}
 
 		case 'unknown': {
@@ -98,8 +98,8 @@
 	}
 };
 
-/** Gets the claim that a compact one stands for, without the details that were dropped. */
-export const getExpandedClaim = (key: ClaimKey, compact: CompactClaim): Claim => ({
+/** Returns a compact claim as a full one; the details that compaction dropped are empty or zero. */
+export const expandCompactClaim = (key: ClaimKey, compact: CompactClaim): Claim => ({
 	...key,
 	digest: compact.digest,
 	request: '',
@@ -109,24 +109,24 @@
 	outcome: compact.kind === 'finished' ? {kind: 'finished', status: compact.status} : {kind: 'unknown', reason: 'details were dropped'},
 });
 
-const applyToCompact = (compact: CompactClaim, request: ClaimRequest): ClaimStep => {
+const applyToCompactClaim = (compact: CompactClaim, request: ClaimRequest): ClaimTransition => {
 	if (compact.digest !== request.digest) {
 		return {decision: {kind: 'mismatch'}};
 	}
 
-	const claim = getExpandedClaim(request.key, compact);
+	const claim = expandCompactClaim(request.key, compact);
 	return {decision: {kind: compact.kind === 'finished' ? 'done' : 'unknown', claim}};
 };
 
-/** A claim that was released before it was stored has no digest, and binds the key to no body. */
-const isSameWork = (claim: Claim, request: ClaimRequest): boolean => claim.digest === request.digest || claim.digest === '';
+/** Whether a request may use the key of a claim. A claim that was released before it was stored has an empty digest and matches every request. */
+const hasMatchingDigest = (claim: Claim, request: ClaimRequest): boolean => claim.digest === request.digest || claim.digest === '';
 
-/** Decides on a claim from the state of its slot. */
-export const applyClaim = (state: SlotState, request: ClaimRequest, context: ClaimContext): ClaimStep => {
-	const identity = getIdentity(request.key);
-	const claim = state.claims.get(identity);
+/** Decides whether a request may start, given the state of its slot. */
+export const applyClaim = (state: SlotState, request: ClaimRequest, context: ClaimContext): ClaimTransition => {
+	const keyHash = getKeyHash(request.key);
+	const claim = state.claims.get(keyHash);
 	if (claim?.request === request.request) {
-		return {decision: getOwnDecision(claim)};
+		return {decision: getDecisionForSameAttempt(claim)};
 	}
 
 	if (claim !== undefined && isGivenUp(claim, request.request)) {
@@ -134,14 +134,14 @@
 	}
 
 	if (claim !== undefined) {
-		return isSameWork(claim, request) ? applyToOther(claim, request, context) : {decision: {kind: 'mismatch'}};
+		return hasMatchingDigest(claim, request) ? applyToOtherAttempt(claim, request, context) : {decision: {kind: 'mismatch'}};
 	}
 
-	const compact = state.compact.get(identity);
+	const compact = state.compact.get(keyHash);
 	if (compact !== undefined) {
-		return applyToCompact(compact, request);
+		return applyToCompactClaim(compact, request);
 	}
 
-	const isFull = state.claims.size + state.compact.size >= context.limits.slotClaims;
-	return isFull ? {decision: {kind: 'full'}} : createStart(request, context);
+	const isFull = state.claims.size + state.compact.size >= context.limits.maxClaimsPerSlot;
+	return isFull ? {decision: {kind: 'full'}} : createStartTransition(request, context);
 };
--- a/packages/claims/src/slots/apply-settlement.ts
+++ b/packages/claims/src/slots/apply-settlement.ts
@@ -1,32 +1,32 @@
 import type {
 	Claim, ClaimOutcome, ClaimSettlement, Milliseconds, SettlementOutcome,
 } from '@gentianlift/types';
-import {getTimeRefusal, type SlotChange} from './apply-claim.js';
-import {addGivenUp, isGivenUp} from './given-up.js';
+import {getTimestampRefusal, type SlotChange} from './apply-claim.js';
+import {addGivenUp, isGivenUp} from './given-up-attempts.js';
 import type {ClaimLimits} from './limits.js';
 import type {SlotState} from './slot-state.js';
-import {getIdentity} from './slot.js';
+import {getKeyHash} from './slot.js';
 
-/** A settlement's result, and the change that has to be stored before the result may be told. */
-export type SettlementStep = {outcome: SettlementOutcome; change?: SlotChange};
+/** Outcome of a settlement, and the change that must be stored before the outcome is returned. */
+export type SettlementTransition = {outcome: SettlementOutcome; change?: SlotChange};
 
-/** What a settlement needs beside the slot. */
+/** Inputs of a settlement other than the slot's state. */
 export type SettlementContext = {now: Milliseconds; limits: ClaimLimits};
 
-const getAnswerLength = (claim: Claim): number => claim.outcome.kind === 'finished' ? claim.outcome.body?.length ?? 0 : 0;
+const getBodyLength = (claim: Claim): number => claim.outcome.kind === 'finished' ? claim.outcome.body?.length ?? 0 : 0;
 
-const getRoom = (state: SlotState, limits: ClaimLimits): number => {
+const getRemainingBodyLength = (state: SlotState, limits: ClaimLimits): number => {
 	let used = 0;
 	for (const claim of state.claims.values()) {
-		used += getAnswerLength(claim);
+		used += getBodyLength(claim);
 	}
 
-	return Math.min(limits.answerLength, limits.slotAnswerLength - used);
+	return Math.min(limits.maxBodyLength, limits.maxBodyLengthPerSlot - used);
 };
 
-/** Drops the body of an answer that is longer than `room`. */
-const trimOutcome = (outcome: ClaimOutcome, room: number): ClaimOutcome => {
-	if (outcome.kind !== 'finished' || outcome.body === undefined || outcome.body.length <= room) {
+/** Returns the outcome without its response body if the body is longer than `maxLength`. */
+const dropOversizedBody = (outcome: ClaimOutcome, maxLength: number): ClaimOutcome => {
+	if (outcome.kind !== 'finished' || outcome.body === undefined || outcome.body.length <= maxLength) {
 		return outcome;
 	}
 
@@ -34,21 +34,21 @@
 	return rest;
 };
 
-/** Stores that an attempt without a claim was given up, so that its claim can't start it when it arrives late. */
-const applyRelease = (settlement: ClaimSettlement, {now, limits}: SettlementContext): SettlementStep => {
-	const isTooOld = getTimeRefusal(settlement.key, now, limits) !== undefined;
-	if (settlement.outcome.kind !== 'not-run' || isTooOld) {
+/** Records that an attempt without a stored claim was given up, so that a claim that arrives late can't start it. */
+const applyReleaseWithoutClaim = (settlement: ClaimSettlement, {now, limits}: SettlementContext): SettlementTransition => {
+	const isTimestampRefused = getTimestampRefusal(settlement.key, now, limits) !== undefined;
+	if (settlement.outcome.kind !== 'not-run' || isTimestampRefused) {
 		return {outcome: {stored: false}};
 	}
 
 	const claim: Claim = {
 		...settlement.key, digest: '', request: settlement.request, host: '', incarnation: 0, claimedAt: now, settledAt: now, outcome: settlement.outcome,
 	};
-	return {outcome: {stored: true}, change: {identity: getIdentity(settlement.key), claim}};
+	return {outcome: {stored: true}, change: {keyHash: getKeyHash(settlement.key), claim}};
 };
 
-/** Notes under the claim of another attempt that this one was given up, in case its own claim is still on its way. */
-const applyReleaseBeside = (claim: Claim, settlement: ClaimSettlement, identity: string): SettlementStep => {
+/** Records in the claim of another attempt that this attempt was given up, in case its own claim arrives later. */
+const applyReleaseToOtherClaim = (claim: Claim, settlement: ClaimSettlement, keyHash: string): SettlementTransition => {
 	if (settlement.outcome.kind !== 'not-run') {
 		return {outcome: {stored: false}};
 	}
@@ -57,28 +57,28 @@
 		return {outcome: {stored: true}};
 	}
 
-	return {outcome: {stored: true}, change: {identity, claim: {...claim, givenUp: addGivenUp(claim, settlement.request)}}};
+	return {outcome: {stored: true}, change: {keyHash, claim: {...claim, givenUp: addGivenUp(claim, settlement.request)}}};
 };
 
-/** Settles a claim. Only the claim's own attempt can, and only once: an outcome that is stored stays. */
-export const applySettlement = (state: SlotState, settlement: ClaimSettlement, context: SettlementContext): SettlementStep => {
-	const identity = getIdentity(settlement.key);
-	const claim = state.claims.get(identity);
+/** Settles a claim. Only the attempt that holds the claim can settle it, and only once: a stored outcome is final. */
+export const applySettlement = (state: SlotState, settlement: ClaimSettlement, context: SettlementContext): SettlementTransition => {
+	const keyHash = getKeyHash(settlement.key);
+	const claim = state.claims.get(keyHash);
 	if (claim === undefined) {
-		return state.compact.has(identity) ? {outcome: {stored: false}} : applyRelease(settlement, context);
+		return state.compact.has(keyHash) ? {outcome: {stored: false}} : applyReleaseWithoutClaim(settlement, context);
 	}
 
 	if (claim.request !== settlement.request) {
-		return applyReleaseBeside(claim, settlement, identity);
+		return applyReleaseToOtherClaim(claim, settlement, keyHash);
 	}
 
 	if (claim.outcome.kind !== 'claimed') {
 		return {outcome: {stored: claim.outcome.kind === settlement.outcome.kind}};
 	}
 
-	const outcome = trimOutcome(settlement.outcome, getRoom(state, context.limits));
+	const outcome = dropOversizedBody(settlement.outcome, getRemainingBodyLength(state, context.limits));
 	const settled: Claim = {
 		...claim, ...(settlement.upstream !== undefined && {upstream: settlement.upstream}), settledAt: context.now, outcome,
 	};
-	return {outcome: {stored: true}, change: {identity, claim: settled}};
+	return {outcome: {stored: true}, change: {keyHash, claim: settled}};
 };
--- a/packages/claims/src/slots/batch.ts
+++ b/packages/claims/src/slots/batch.ts
@@ -3,32 +3,32 @@
 } from '@gentianlift/types';
 import {applyClaim, type ClaimContext, type SlotChange} from './apply-claim.js';
 import {applySettlement} from './apply-settlement.js';
-import {compactClaims} from './compact.js';
+import {compactClaims} from './compact-claims.js';
 import type {SlotState} from './slot-state.js';
 
-/** A change that waits for its slot's next write. */
+/** An operation on a slot, applied with the slot's next write. */
 export type Operation
 	= | {kind: 'claim'; request: ClaimRequest}
 		| {kind: 'settle'; settlement: ClaimSettlement};
 
-/** The answer to an operation. */
-export type Answer
+/** Answer to an operation. */
+export type OperationAnswer
 	= | {kind: 'claim'; decision: ClaimDecision}
 		| {kind: 'settle'; outcome: SettlementOutcome};
 
-/** A slot's state after a batch of operations, and their answers in order. */
+/** Result of applying operations to a slot: its new state, and their answers in order. */
 export type Batch = {
 	state: SlotState;
-	answers: Answer[];
-	/** False if the batch leaves the slot as it was. */
+	answers: OperationAnswer[];
+	/** Whether an operation changed the slot, so that it has to be written. */
 	isChanged: boolean;
-	/** Whether the answers hold even if the state that they rest on is an old one. */
+	/** Whether all answers hold even if they were derived from a stale state, since stored outcomes never change. */
 	isFinal: boolean;
 };
 
-type Step = {answer: Answer; change?: SlotChange};
+type Transition = {answer: OperationAnswer; change?: SlotChange};
 
-const applyOperation = (state: SlotState, operation: Operation, context: ClaimContext): Step => {
+const applyOperation = (state: SlotState, operation: Operation, context: ClaimContext): Transition => {
 	switch (operation.kind) {
 		case 'claim': {
 			const {decision, ...rest} = applyClaim(state, operation.request, context);
@@ -42,20 +42,20 @@
 	}
 };
 
-const isFinalAnswer = (answer: Answer): boolean =>
+const isFinalAnswer = (answer: OperationAnswer): boolean =>
 	answer.kind === 'claim' ? answer.decision.kind === 'done' : answer.outcome.stored;
 
-/** Applies operations to a slot in order, without touching the state that was given. */
-export const applyBatch = (before: SlotState, operations: readonly Operation[], context: ClaimContext): Batch => {
-	const state: SlotState = {...before, claims: new Map(before.claims), compact: new Map(before.compact)};
-	const answers: Answer[] = [];
+/** Applies operations to a slot in order, without modifying the initial state. */
+export const applyBatch = (initial: SlotState, operations: readonly Operation[], context: ClaimContext): Batch => {
+	const state: SlotState = {...initial, claims: new Map(initial.claims), compact: new Map(initial.compact)};
+	const answers: OperationAnswer[] = [];
 	let isChanged = false;
 	for (const operation of operations) {
 		const {answer, change} = applyOperation(state, operation, context);
 		answers.push(answer);
 		if (change !== undefined) {
 			isChanged = true;
-			state.claims.set(change.identity, change.claim);
+			state.claims.set(change.keyHash, change.claim);
 		}
 	}
 
--- a/packages/claims/src/slots/commit.ts
+++ b/packages/claims/src/slots/commit.ts
@@ -2,73 +2,77 @@
 import type {
 	HostId, Incarnation, Milliseconds, WriteOutcome,
 } from '@gentianlift/types';
-import {applyBatch, type Answer, type Operation} from './batch.js';
+import {applyBatch, type OperationAnswer, type Operation} from './batch.js';
 import type {ClaimLimits} from './limits.js';
-import type {SlotCalls} from './slot-calls.js';
+import type {SlotStore} from './slot-store.js';
 import {createSlotState, type SlotState} from './slot-state.js';
 import {getBucketEnd, type Slot} from './slot.js';
 
-/** How an operation ended: `undetermined` if its claim may be stored even so. */
+/** Outcome of an operation. A failed one is `undetermined` if its change may be stored nevertheless. */
 export type OperationOutcome
-	= | {kind: 'answered'; answer: Answer}
+	= | {kind: 'answered'; answer: OperationAnswer}
 		| {kind: 'failed'; reason: string; undetermined: boolean};
 
-/** An operation that waits for its answer. */
-export type Waiting = {
+/** An operation that has no answer yet. */
+export type PendingOperation = {
 	operation: Operation;
+	/** Moment on the monotonic clock at which the operation fails. */
 	deadline: Milliseconds;
-	/** Whether a write with the operation was sent that took effect or still may. */
+	/** Whether a write that contains the operation was applied or may still be applied. */
 	undetermined: boolean;
 	resolve: (outcome: OperationOutcome) => void;
 };
 
-/** A slot's state as last seen in the service; `isFresh` if seen during the present commit. */
-export type KnownState = {state: SlotState; revision: number; isFresh: boolean};
+/** A slot's state as last read or written; `isFresh` if that was during the current commit. */
+export type SlotSnapshot = {state: SlotState; revision: number; isFresh: boolean};
 
-/** A slot as a host sees it. */
-export type SlotView = {
+/** A host's cached copy of a slot. */
+export type CachedSlot = {
 	slot: Slot;
-	known?: KnownState | undefined;
+	snapshot?: SlotSnapshot | undefined;
+	/** Moment on the monotonic clock of the last write by this host. */
 	lastWriteAt: Milliseconds;
-	/** True until the host has made a call for the slot. */
-	isUntouched: boolean;
+	/** Whether this host has neither read nor written the slot yet. */
+	isUnaccessed: boolean;
 };
 
-/** What a commit needs. */
+/** Dependencies of a commit. */
 export type CommitOptions = {
 	clock: Clock;
 	random: Random;
-	calls: SlotCalls;
+	store: SlotStore;
 	limits: ClaimLimits;
+	/** Whether the incarnation of a host is known to have ended. */
 	isGone: (host: HostId, incarnation: Incarnation) => boolean;
-	/** Creates the unique text of a write. */
+	/** Returns a unique token for a write. */
 	createToken: () => string;
 };
 
-const backoff = {first: 10, longest: 200};
-const longestExponent = 8;
-const closedReason = 'the floor could not be read';
+/** Delays in milliseconds between the retries of a failed call. */
+const backoff = {initial: 10, max: 200};
+const maxExponent = 8;
+const floorUnavailableReason = 'the floor could not be read';
 
-const getBackoff = (round: number, random: Random): Milliseconds =>
-	Math.min(backoff.longest, backoff.first * (2 ** Math.min(round, longestExponent))) * (0.5 + random.next());
+const getBackoff = (retries: number, random: Random): Milliseconds =>
+	Math.min(backoff.max, backoff.initial * (2 ** Math.min(retries, maxExponent))) * (0.5 + random.next());
 
-const getClosedAnswer = (operation: Operation): Answer => operation.kind === 'claim'
+const getClosedBucketAnswer = (operation: Operation): OperationAnswer => operation.kind === 'claim'
 	? {kind: 'claim', decision: {kind: 'expired'}}
 	: {kind: 'settle', outcome: {stored: false}};
 
-/** Fails what has waited too long and returns the others. */
-const expire = (waiting: readonly Waiting[], now: Milliseconds, reason: string): Waiting[] => {
-	for (const {deadline, resolve, undetermined} of waiting) {
+/** Fails the operations whose deadline has passed and returns the others. */
+const failExpired = (pending: readonly PendingOperation[], now: Milliseconds, reason: string): PendingOperation[] => {
+	for (const {deadline, resolve, undetermined} of pending) {
 		if (deadline <= now) {
 			resolve({kind: 'failed', reason, undetermined});
 		}
 	}
 
-	return waiting.filter(({deadline}) => deadline > now);
+	return pending.filter(({deadline}) => deadline > now);
 };
 
-const answerAll = (waiting: readonly Waiting[], getAnswer: (item: Waiting, index: number) => Answer | undefined): void => {
-	for (const [index, item] of waiting.entries()) {
+const resolveAnswered = (pending: readonly PendingOperation[], getAnswer: (item: PendingOperation, index: number) => OperationAnswer | undefined): void => {
+	for (const [index, item] of pending.entries()) {
 		const answer = getAnswer(item, index);
 		if (answer !== undefined) {
 			item.resolve({kind: 'answered', answer});
@@ -76,16 +80,16 @@
 	}
 };
 
-/** Keeps what a write's outcome tells about the slot, and returns why the batch has to be applied again. */
-const applyWriteOutcome = (view: SlotView, state: SlotState, outcome: WriteOutcome, waiting: readonly Waiting[]): string => {
+/** Updates the cached slot and the operations from the outcome of a write; returns why the write failed, or an empty text if it was applied. */
+const recordWriteOutcome = (cachedSlot: CachedSlot, state: SlotState, outcome: WriteOutcome, pending: readonly PendingOperation[]): string => {
 	switch (outcome.kind) {
 		case 'applied': {
-			view.known = {state, revision: outcome.revision, isFresh: true};
+			cachedSlot.snapshot = {state, revision: outcome.revision, isFresh: true};
 			break;
 		}
 
 		case 'rejected': {
-			view.known = undefined;
+			cachedSlot.snapshot = undefined;
 			return 'another host wrote the slot';
 		}
 
@@ -94,115 +98,119 @@
 		}
 
 		case 'unknown': {
-			// The write may land later. The next round reads the slot and writes with another token, from the same revision if
-			// nothing has changed: once a write from that revision is applied, the lost one can't be.
-			view.known = undefined;
+			// The write may still be applied. The next step reads the slot and writes it with another token, from the same revision
+			// if nothing has changed: once one write from that revision is applied, the service rejects the other.
+			cachedSlot.snapshot = undefined;
 			break;
 		}
 	}
 
-	for (const item of waiting) {
+	for (const item of pending) {
 		item.undetermined = true;
 	}
 
 	return outcome.kind === 'unknown' ? outcome.reason : '';
 };
 
-/** Creates the function that brings a batch of operations into a slot. */
-export const createCommit = ({clock, random, calls, limits, isGone, createToken}: CommitOptions) => {
-	/** The value of a bucket that has just begun is most likely absent: writing it at once saves a read, and is rejected otherwise. */
-	const isLikelyAbsent = ({slot, isUntouched}: SlotView): boolean =>
-		isUntouched && slot.kind === 'timed' && getBucketEnd(slot.bucket, limits) + limits.bucketDuration > clock.now();
+/**
+Creates the function that commits operations to a slot by compare-and-swap and answers them.
 
-	const load = async (view: SlotView): Promise<string> => {
-		if (isLikelyAbsent(view)) {
-			view.isUntouched = false;
-			view.known = {state: createSlotState(), revision: 0, isFresh: false};
+After each write the operations are applied again: one is answered only from a state in the service that already contains its change.
+*/
+export const createCommit = ({clock, random, store, limits, isGone, createToken}: CommitOptions) => {
+	/** Whether the slot most likely has no value, as its bucket is recent. Writing it without a read saves a call; if it has a value, the write is rejected. */
+	const isLikelyAbsent = ({slot, isUnaccessed}: CachedSlot): boolean =>
+		isUnaccessed && slot.kind === 'timed' && getBucketEnd(slot.bucket, limits) + limits.bucketDuration > clock.now();
+
+	const loadState = async (cachedSlot: CachedSlot): Promise<string> => {
+		if (isLikelyAbsent(cachedSlot)) {
+			cachedSlot.isUnaccessed = false;
+			cachedSlot.snapshot = {state: createSlotState(), revision: 0, isFresh: false};
 			return '';
 		}
 
-		view.isUntouched = false;
-		const outcome = await calls.read(view.slot);
+		cachedSlot.isUnaccessed = false;
+		const outcome = await store.read(cachedSlot.slot);
 		if (outcome.kind === 'unavailable') {
 			return outcome.reason;
 		}
 
-		view.known = {state: outcome.state, revision: outcome.revision, isFresh: true};
+		cachedSlot.snapshot = {state: outcome.state, revision: outcome.revision, isFresh: true};
 		return '';
 	};
 
-	/** Answers from a state that the service holds, once claims in the slot may start. */
-	const finish = async (view: SlotView, known: KnownState, waiting: readonly Waiting[], answers: Answer[]): Promise<string> => {
-		if (!known.state.checked && view.slot.kind === 'timed') {
-			const floor = await calls.readFloor();
+	/** Answers the operations from a state that the service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
+	const answerBatch = async (cachedSlot: CachedSlot, snapshot: SlotSnapshot, pending: readonly PendingOperation[], answers: OperationAnswer[]): Promise<string> => {
+		if (!snapshot.state.checked && cachedSlot.slot.kind === 'timed') {
+			const floor = await store.readBucketFloor();
 			if (floor.kind === 'unavailable') {
-				return closedReason;
+				return floorUnavailableReason;
 			}
 
-			if (floor.before > view.slot.bucket) {
-				view.known = undefined;
-				answerAll(waiting, ({operation}) => getClosedAnswer(operation));
-				await calls.remove(view.slot, known.revision);
+			if (floor.before > cachedSlot.slot.bucket) {
+				cachedSlot.snapshot = undefined;
+				resolveAnswered(pending, ({operation}) => getClosedBucketAnswer(operation));
+				await store.remove(cachedSlot.slot, snapshot.revision);
 				return '';
 			}
 
-			known.state.checked = true;
+			snapshot.state.checked = true;
 		}
 
-		answerAll(waiting, (item, index) => answers[index]);
+		resolveAnswered(pending, (item, index) => answers[index]);
 		return '';
 	};
 
-	const write = async (view: SlotView, known: KnownState, state: SlotState, waiting: readonly Waiting[]): Promise<string> => {
+	const writeState = async (cachedSlot: CachedSlot, snapshot: SlotSnapshot, state: SlotState, pending: readonly PendingOperation[]): Promise<string> => {
 		state.token = createToken();
-		view.lastWriteAt = clock.monotonic();
-		const outcome = await calls.write(view.slot, state, known.revision);
-		return applyWriteOutcome(view, state, outcome, waiting);
+		cachedSlot.lastWriteAt = clock.monotonic();
+		const outcome = await store.write(cachedSlot.slot, state, snapshot.revision);
+		return recordWriteOutcome(cachedSlot, state, outcome, pending);
 	};
 
-	/** Takes one step; returns whether the batch is answered, and otherwise why not yet. */
-	const step = async (view: SlotView, waiting: readonly Waiting[]): Promise<{isDone: boolean; reason: string}> => {
-		const {known} = view;
-		if (known === undefined) {
-			return {isDone: false, reason: await load(view)};
+	/** Reads, writes or answers, whichever is next; returns whether the operations are answered, and if not, why a call failed. */
+	const runStep = async (cachedSlot: CachedSlot, pending: readonly PendingOperation[]): Promise<{isDone: boolean; reason: string}> => {
+		const {snapshot} = cachedSlot;
+		if (snapshot === undefined) {
+			return {isDone: false, reason: await loadState(cachedSlot)};
 		}
 
-		const batch = applyBatch(known.state, waiting.map(({operation}) => operation), {now: clock.now(), limits, isGone});
+		const batch = applyBatch(snapshot.state, pending.map(({operation}) => operation), {now: clock.now(), limits, isGone});
 		if (batch.isChanged) {
-			return {isDone: false, reason: await write(view, known, batch.state, waiting)};
+			return {isDone: false, reason: await writeState(cachedSlot, snapshot, batch.state, pending)};
 		}
 
-		if (!known.isFresh && !batch.isFinal) {
-			view.known = undefined;
+		if (!snapshot.isFresh && !batch.isFinal) {
+			cachedSlot.snapshot = undefined;
 			return {isDone: false, reason: ''};
 		}
 
-		const reason = await finish(view, known, waiting, batch.answers);
+		const reason = await answerBatch(cachedSlot, snapshot, pending, batch.answers);
 		return {isDone: reason === '', reason};
 	};
 
-	return async (view: SlotView, batch: readonly Waiting[]): Promise<void> => {
-		if (view.known !== undefined) {
-			view.known.isFresh = false;
+	return async (cachedSlot: CachedSlot, batch: readonly PendingOperation[]): Promise<void> => {
+		if (cachedSlot.snapshot !== undefined) {
+			cachedSlot.snapshot.isFresh = false;
 		}
 
-		let waiting = [...batch];
+		let pending = [...batch];
 		let reason = 'timeout';
-		for (let round = 0; waiting.length > 0;) {
-			// eslint-disable-next-line no-await-in-loop -- Each step rests on the one before.
-			const result = await step(view, waiting);
+		for (let retries = 0; pending.length > 0;) {
+			// eslint-disable-next-line no-await-in-loop -- Each step depends on the one before.
+			const result = await runStep(cachedSlot, pending);
 			if (result.isDone) {
 				return;
 			}
 
 			if (result.reason !== '') {
 				reason = result.reason;
-				// eslint-disable-next-line no-await-in-loop -- The service is given time before the next call.
-				await clock.sleep(getBackoff(round, random));
-				round++;
+				// eslint-disable-next-line no-await-in-loop -- Retries back off.
+				await clock.sleep(getBackoff(retries, random));
+				retries++;
 			}
 
-			waiting = expire(waiting, clock.monotonic(), reason);
+			pending = failExpired(pending, clock.monotonic(), reason);
 		}
 	};
 };
--- a/packages/claims/src/slots/compact.ts
+++ b/packages/claims/src/slots/compact-claims.ts
@@ -19,20 +19,24 @@
 	}
 };
 
-/** Drops the details of the oldest settled claims beyond the limit, in place. That it ran and how it ended stays; what never ran is forgotten. */
+/**
+Replaces the oldest settled claims beyond the limit by compact ones, in place.
+
+A compact claim keeps the digest and the outcome. A claim whose request didn't run is removed. Claims without an outcome stay as they are.
+*/
 export const compactClaims = (state: SlotState, limits: ClaimLimits): void => {
-	for (const [identity, claim] of state.claims) {
-		if (state.claims.size <= limits.detailedClaims) {
+	for (const [keyHash, claim] of state.claims) {
+		if (state.claims.size <= limits.maxDetailedClaims) {
 			return;
 		}
 
 		const compact = getCompactClaim(claim);
 		if (compact !== undefined) {
-			state.compact.set(identity, compact);
+			state.compact.set(keyHash, compact);
 		}
 
 		if (claim.outcome.kind !== 'claimed') {
-			state.claims.delete(identity);
+			state.claims.delete(keyHash);
 		}
 	}
 };
--- a/packages/claims/src/slots/given-up.ts
+++ b/packages/claims/src/slots/given-up-attempts.ts
@@ -1,13 +1,13 @@
 import type {Claim, RequestId} from '@gentianlift/types';
 
-/** Attempts of one key that are remembered as given up. */
-const givenUpLimit = 16;
+/** Number of given-up attempts that a claim stores; beyond it the oldest are dropped. */
+const maxGivenUpAttempts = 16;
 
-/** Whether an attempt of the key was given up, so that a claim of it that arrives late must not be stored. */
+/** Whether an attempt with the key was given up, so that its claim must not be stored if it arrives late. */
 export const isGivenUp = (claim: Claim, request: RequestId): boolean => claim.givenUp?.includes(request) ?? false;
 
-/** Gets the attempts given up under a key together with one more. */
+/** Returns the given-up attempts of a claim with another one added. */
 export const addGivenUp = (claim: Claim, request: RequestId): RequestId[] => {
 	const earlier = claim.givenUp ?? [];
-	return earlier.includes(request) ? earlier : [...earlier, request].slice(-givenUpLimit);
+	return earlier.includes(request) ? earlier : [...earlier, request].slice(-maxGivenUpAttempts);
 };
--- a/packages/claims/src/slots/limits.ts
+++ b/packages/claims/src/slots/limits.ts
@@ -1,47 +1,47 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Bounds of the claims; the same at every host, since they decide where a claim is found. */
+/** Limits of claims. All hosts must use the same ones, since the slot of a claim depends on them. */
 export type ClaimLimits = {
-	/** Slots of one bucket of timed keys. */
-	timedSlots: number;
-	/** Time that one bucket of timed keys spans. */
+	/** Number of slots in a bucket of timed keys, which are keys that contain a timestamp. */
+	slotsPerBucket: number;
+	/** Range of timestamps that share a bucket. */
 	bucketDuration: Milliseconds;
-	/** Age up to which a timed key is accepted. */
+	/** Maximum age of a timed key. */
 	retention: Milliseconds;
-	/** Time by which a timed key may be ahead of the host's clock. */
-	aheadLimit: Milliseconds;
-	/** Slots of keys without a time. */
+	/** Maximum time by which the timestamp of a key may be ahead of the host's clock. */
+	maxTimestampLead: Milliseconds;
+	/** Number of slots of keys without a timestamp. */
 	untimedSlots: number;
-	/** Claims of one slot, after which new ones are refused. */
-	slotClaims: number;
-	/** Claims of an untimed slot that keep their details. */
-	detailedClaims: number;
-	/** Longest answer that is kept, in characters. */
-	answerLength: number;
-	/** Answers of one slot together, in characters. */
-	slotAnswerLength: number;
-	/** Least time between two writes of a slot by one host. */
+	/** Number of claims in a slot at which new ones are refused. */
+	maxClaimsPerSlot: number;
+	/** Number of claims in a slot that keep their details; the oldest settled ones beyond it are compacted. */
+	maxDetailedClaims: number;
+	/** Maximum length of a stored response body, in characters. */
+	maxBodyLength: number;
+	/** Maximum total length of the stored response bodies of a slot, in characters. */
+	maxBodyLengthPerSlot: number;
+	/** Minimum time between two writes of a slot by the same host. */
 	writeInterval: Milliseconds;
-	/** Longest time that storing a claim may take. */
+	/** Maximum time for storing a claim. */
 	claimTimeout: Milliseconds;
-	/** Longest time that one try to store a settlement may take. */
+	/** Maximum time for one attempt to store a settlement. */
 	settleTimeout: Milliseconds;
 };
 
 const second = 1000;
 const hour = 3600 * second;
 
-/** Limits in use unless a test sets others. */
+/** Default limits. */
 export const claimLimits: ClaimLimits = {
-	timedSlots: 32,
+	slotsPerBucket: 32,
 	bucketDuration: 10 * second,
 	retention: 24 * hour,
-	aheadLimit: hour,
+	maxTimestampLead: hour,
 	untimedSlots: 256,
-	slotClaims: 4000,
-	detailedClaims: 200,
-	answerLength: 4096,
-	slotAnswerLength: 128 * 1024,
+	maxClaimsPerSlot: 4000,
+	maxDetailedClaims: 200,
+	maxBodyLength: 4096,
+	maxBodyLengthPerSlot: 128 * 1024,
 	writeInterval: 100,
 	claimTimeout: 2 * second,
 	settleTimeout: 2 * second,
--- a/packages/claims/src/slots/slot-state.ts
+++ b/packages/claims/src/slots/slot-state.ts
@@ -1,22 +1,23 @@
 import type {Claim, ClaimOutcome} from '@gentianlift/types';
 import {z} from 'zod';
 
-/** What stays of a settled claim without its details. */
+/** A settled claim without its details. */
 export type CompactClaim = {
 	kind: 'finished' | 'unknown';
 	digest: string;
+	/** HTTP status of the response; 0 if the outcome is unknown. */
 	status: number;
 };
 
-/** Content of a slot's value. */
+/** Content of a slot. */
 export type SlotState = {
-	/** Unique for each write. */
+	/** Unique to each write, so that no two writes have the same value. */
 	token: string;
-	/** Whether the floor was read after the slot was created; until then a claim in it doesn't start. */
+	/** Whether the bucket floor was read after the slot was created; until then no claim in it is answered. */
 	checked: boolean;
-	/** Claims by identity. */
+	/** Claims by key hash, in the order in which they were added. */
 	claims: Map<string, Claim>;
-	/** Settled claims without details, by identity. */
+	/** Settled claims without details, by key hash. */
 	compact: Map<string, CompactClaim>;
 };
 
@@ -60,16 +61,16 @@
 	token: '', checked: false, claims: new Map(), compact: new Map(),
 });
 
-/** Writes a slot's state as the text of its value. */
-export const writeSlotState = (state: SlotState): string => JSON.stringify({
+/** Serializes a slot's state as JSON. */
+export const serializeSlotState = (state: SlotState): string => JSON.stringify({
 	token: state.token,
 	checked: state.checked,
 	claims: Object.fromEntries(state.claims),
 	compact: Object.fromEntries(state.compact),
 });
 
-/** Reads a slot's state from the text of its value; undefined if the text is not one. */
-export const readSlotState = (text: string): SlotState | undefined => {
+/** Parses a slot's state from JSON; undefined if the text is invalid. */
+export const parseSlotState = (text: string): SlotState | undefined => {
 	try {
 		const parsed = slotSchema.parse(JSON.parse(text));
 		return {...parsed, claims: new Map(Object.entries(parsed.claims)), compact: new Map(Object.entries(parsed.compact))};
--- a/packages/claims/src/slots/slot-writer.ts
+++ b/packages/claims/src/slots/slot-writer.ts
@@ -1,86 +1,87 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {Operation} from './batch.js';
 import {
-	createCommit, type CommitOptions, type OperationOutcome, type SlotView, type Waiting,
+	createCommit, type CommitOptions, type OperationOutcome, type CachedSlot, type PendingOperation,
 } from './commit.js';
-import type {SlotRead} from './slot-calls.js';
+import type {SlotRead} from './slot-store.js';
 import {getSlotKey, type Slot} from './slot.js';
 
-/** Groups the operations of each slot into compare-and-swaps, one under way for each slot. */
+/** Batches the operations on each slot into compare-and-swaps, one at a time per slot. */
 export type SlotWriter = {
-	/** Applies an operation; resolves once the answer rests on a state that the service holds, or after `timeout`. */
+	/** Applies an operation. Resolves with an answer that follows from a state in the service, or fails after `timeout`. */
 	apply: (slot: Slot, operation: Operation, timeout: Milliseconds) => Promise<OperationOutcome>;
 	/** Reads a slot from the service. */
 	read: (slot: Slot) => Promise<SlotRead>;
 };
 
-type Line = SlotView & {waiting: Waiting[]; isRunning: boolean};
+type SlotQueue = CachedSlot & {pending: PendingOperation[]; isRunning: boolean};
 
-const keptLines = 256;
+/** Number of queues above which idle ones are removed, with their cached slots. */
+const maxQueues = 256;
 
 /** Creates the slot writer of a host. */
 export const createSlotWriter = (options: Omit<CommitOptions, 'createToken'>): SlotWriter => {
 	const {
-		clock, random, calls, limits,
+		clock, random, store, limits,
 	} = options;
-	const tokenBase = Math.floor(random.next() * Number.MAX_SAFE_INTEGER).toString(36);
-	const lines = new Map<string, Line>();
-	let tokens = 0;
-	const commit = createCommit({...options, createToken: () => `${tokenBase}-${++tokens}`});
+	const tokenPrefix = Math.floor(random.next() * Number.MAX_SAFE_INTEGER).toString(36);
+	const queues = new Map<string, SlotQueue>();
+	let tokenCount = 0;
+	const commit = createCommit({...options, createToken: () => `${tokenPrefix}-${++tokenCount}`});
 
-	const dropIdleLines = (): void => {
-		for (const [key, line] of lines) {
-			if (lines.size <= keptLines) {
+	const removeIdleQueues = (): void => {
+		for (const [key, queue] of queues) {
+			if (queues.size <= maxQueues) {
 				return;
 			}
 
-			if (!line.isRunning) {
-				lines.delete(key);
+			if (!queue.isRunning) {
+				queues.delete(key);
 			}
 		}
 	};
 
-	/** Gets a slot's line and puts it last among those to drop. */
-	const getLine = (slot: Slot): Line => {
+	/** Returns the queue of a slot, moved to the end of the order in which idle queues are removed. */
+	const getQueue = (slot: Slot): SlotQueue => {
 		const key = getSlotKey(slot);
-		const line = lines.get(key) ?? {
-			slot, lastWriteAt: -limits.writeInterval, waiting: [], isRunning: false, isUntouched: true,
+		const queue = queues.get(key) ?? {
+			slot, lastWriteAt: -limits.writeInterval, pending: [], isRunning: false, isUnaccessed: true,
 		};
-		lines.delete(key);
-		lines.set(key, line);
-		return line;
+		queues.delete(key);
+		queues.set(key, queue);
+		return queue;
 	};
 
-	const pace = async (line: Line): Promise<void> => {
-		const wait = line.lastWriteAt + limits.writeInterval - clock.monotonic();
+	const waitForWriteInterval = async (queue: SlotQueue): Promise<void> => {
+		const wait = queue.lastWriteAt + limits.writeInterval - clock.monotonic();
 		if (wait > 0) {
 			await clock.sleep(wait);
 		}
 	};
 
-	const run = async (line: Line): Promise<void> => {
-		line.isRunning = true;
-		while (line.waiting.length > 0) {
-			// eslint-disable-next-line no-await-in-loop -- One write of a slot is under way at a time; the others wait and are grouped.
-			await pace(line);
-			// eslint-disable-next-line no-await-in-loop -- As above.
-			await commit(line, line.waiting.splice(0));
+	const processQueue = async (queue: SlotQueue): Promise<void> => {
+		queue.isRunning = true;
+		while (queue.pending.length > 0) {
+			// eslint-disable-next-line no-await-in-loop -- A slot has one write in flight; operations that arrive meanwhile form the next batch.
+			await waitForWriteInterval(queue);
+			// eslint-disable-next-line no-await-in-loop -- One write is in flight at a time.
+			await commit(queue, queue.pending.splice(0));
 		}
 
-		line.isRunning = false;
-		dropIdleLines();
+		queue.isRunning = false;
+		removeIdleQueues();
 	};
 
 	return {
 		apply: async (slot, operation, timeout) => new Promise(resolve => {
-			const line = getLine(slot);
-			line.waiting.push({
+			const queue = getQueue(slot);
+			queue.pending.push({
 				operation, deadline: clock.monotonic() + timeout, undetermined: false, resolve,
 			});
-			if (!line.isRunning) {
-				void run(line);
+			if (!queue.isRunning) {
+				void processQueue(queue);
 			}
 		}),
-		read: calls.read,
+		read: store.read,
 	};
 };
--- a/packages/claims/src/slots/slot.ts
+++ b/packages/claims/src/slots/slot.ts
@@ -1,38 +1,38 @@
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import type {ClaimKey, Milliseconds, RequestId} from '@gentianlift/types';
-import {getKeyTime} from './key-time.js';
+import {getKeyTimestamp} from './key-timestamp.js';
 import {claimLimits, type ClaimLimits} from './limits.js';
 
-/** Where a claim is kept: one value of the key-value service that many claims share. */
+/** Location of a claim: an entry of the key-value service that many claims share. A timed key contains a timestamp, which determines its bucket. */
 export type Slot
 	= | {kind: 'timed'; bucket: number; index: number}
 		| {kind: 'untimed'; index: number};
 
-const identityBytes = 16;
-const requestPattern = /^.+\.\d+\.\d+\.(?:t(?<bucket>\d+)-(?<timed>\d+)|u(?<untimed>\d+))$/v;
+const keyHashBytes = 16;
+const requestIdPattern = /^.+\.\d+\.\d+\.(?:t(?<bucket>\d+)-(?<timed>\d+)|u(?<untimed>\d+))$/v;
 
-const getHash = (key: ClaimKey): Uint8Array => createHash('sha256').update(`${key.customer}\n${key.key}`).digest();
+const hashKey = (key: ClaimKey): Uint8Array => createHash('sha256').update(`${key.customer}\n${key.key}`).digest();
 
-/** Gets the text that stands for a customer's key inside a slot. */
-export const getIdentity = (key: ClaimKey): string =>
-	Buffer.from(getHash(key).subarray(0, identityBytes)).toString('base64url');
+/** Returns the hash that identifies a customer's key in its slot. */
+export const getKeyHash = (key: ClaimKey): string =>
+	Buffer.from(hashKey(key).subarray(0, keyHashBytes)).toString('base64url');
 
-/** Gets the slot of a key. It depends on the key and the limits alone, so that all hosts agree. */
+/** Returns the slot of a key. It depends on the key and the limits alone, so that all hosts agree. */
 export const getSlot = (key: ClaimKey, limits: ClaimLimits): Slot => {
-	const number = Buffer.from(getHash(key)).readUInt32BE(identityBytes);
-	const time = getKeyTime(key.key);
-	if (time === undefined) {
-		return {kind: 'untimed', index: number % limits.untimedSlots};
+	const slotHash = Buffer.from(hashKey(key)).readUInt32BE(keyHashBytes);
+	const timestamp = getKeyTimestamp(key.key);
+	if (timestamp === undefined) {
+		return {kind: 'untimed', index: slotHash % limits.untimedSlots};
 	}
 
-	return {kind: 'timed', bucket: Math.floor(time / limits.bucketDuration), index: number % limits.timedSlots};
+	return {kind: 'timed', bucket: Math.floor(timestamp / limits.bucketDuration), index: slotHash % limits.slotsPerBucket};
 };
 
-/** Prefix of all slots of a bucket. */
+/** Returns the prefix of the keys of a bucket's slots. */
 export const getBucketPrefix = (bucket: number): string => `claims/t/${bucket}/`;
 
-/** Gets the key of a slot's value in the key-value service. */
+/** Returns the key of a slot in the key-value service. */
 export const getSlotKey = (slot: Slot): string => {
 	switch (slot.kind) {
 		case 'timed': {
@@ -45,13 +45,13 @@
 	}
 };
 
-/** Gets the name that decides which host groups the writes of a slot. It has no time in it, so that a host keeps its slots. */
+/** Returns the key that determines the owner of a slot, the host that batches its writes. It has no bucket in it, so that ownership stays the same from bucket to bucket. */
 export const getOwnerKey = (slot: Slot): string => `claims/${slot.kind}/${slot.index}`;
 
-/** Moment at which a bucket ends. */
+/** Returns the first timestamp after a bucket. */
 export const getBucketEnd = (bucket: number, limits: ClaimLimits): Milliseconds => (bucket + 1) * limits.bucketDuration;
 
-/** Creates the id of a non-idempotent request from a plain one: it names the slot, so that any host finds the claim by the id. */
+/** Creates the id of a non-idempotent request from a plain id by appending the slot, so that any host can find the claim by the id. */
 export const createBookingId = (id: RequestId, key: ClaimKey, limits: ClaimLimits = claimLimits): RequestId => {
 	const slot = getSlot(key, limits);
 	switch (slot.kind) {
@@ -65,9 +65,9 @@
 	}
 };
 
-/** Reads the slot from the id of a non-idempotent request; undefined for other ids. */
-export const readSlotOfRequest = (id: RequestId): Slot | undefined => {
-	const groups = requestPattern.exec(id)?.groups;
+/** Parses the slot from the id of a non-idempotent request; undefined for other ids. */
+export const parseSlotFromRequestId = (id: RequestId): Slot | undefined => {
+	const groups = requestIdPattern.exec(id)?.groups;
 	if (groups === undefined) {
 		return undefined;
 	}
