--- a/packages/placement/src/lease/acquire-term.ts
+++ b/packages/placement/src/lease/acquire-term.ts
@@ -3,28 +3,29 @@
 	HostId, Incarnation, KeyValueService, Milliseconds,
 } from '@gentianlift/types';
 import type {Timing} from '../timing.js';
-import {getValidUntil, getWaitsUntil, type Term} from './term.js';
+import {getValidUntil, getUnfencedOrdersFrom, type Term} from './term.js';
 
-/** Entry that exists while a host holds the lease, tied to it. */
+/** Key of the entry that names the lease holder. The entry is bound to the lease and is removed with it. */
 export const holderKey = 'placement/holder';
-/** Entry with the highest fencing number given out; it outlives leases. */
+/** Key of the entry with the highest fencing number issued so far; it outlives leases. */
 export const fencingKey = 'placement/fencing';
 
-/** Who asks for the lease. */
-export type Self = {host: HostId; incarnation: Incarnation};
+/** A host and its incarnation. */
+export type HostIncarnation = {host: HostId; incarnation: Incarnation};
 
-/** What acquiring needs. */
-export type AcquirePorts = {keyValue: KeyValueService; clock: Clock; self: Self; timing: Timing};
+/** Dependencies of acquiring a term. */
+export type AcquireOptions = {keyValue: KeyValueService; clock: Clock; self: HostIncarnation; timing: Timing};
 
-/** Outcome of trying to become the holder. */
+/** Outcome of an attempt to become the lease holder. */
 export type AcquireOutcome
 	= | {kind: 'acquired'; term: Term}
 		| {kind: 'taken'}
 		| {kind: 'failed'; reason: string};
 
+/** Highest fencing number issued so far, and the revision of its entry. */
 type FencingRecord = {number: number; revision: number};
 
-const readFencing = async (keyValue: KeyValueService): Promise<FencingRecord | undefined> => {
+const readFencingRecord = async (keyValue: KeyValueService): Promise<FencingRecord | undefined> => {
 	const outcome = await keyValue.read(fencingKey);
 	switch (outcome.kind) {
 		case 'found': {
@@ -41,58 +42,60 @@
 	}
 };
 
-type Claim = {lease: string; askedAt: Milliseconds; fencing: FencingRecord};
+/** A granted lease, and the fencing record that was read before it was requested. */
+type LeaseGrant = {lease: string; requestedAt: Milliseconds; fencing: FencingRecord};
 
-/** Gives up a lease that is of no use; if the call is lost, the lease lapses by itself. */
-const giveUp = async ({keyValue}: AcquirePorts, lease: string, outcome: AcquireOutcome): Promise<AcquireOutcome> => {
+/** Ends a lease after a failed attempt and returns the outcome. If the call is lost, the lease lapses at its end. */
+const releaseLease = async ({keyValue}: AcquireOptions, lease: string, outcome: AcquireOutcome): Promise<AcquireOutcome> => {
 	await keyValue.endLease(lease);
 	return outcome;
 };
 
-const claimTerm = async (ports: AcquirePorts, {lease, askedAt, fencing}: Claim): Promise<AcquireOutcome> => {
-	const {keyValue, clock, self, timing} = ports;
+/** Writes the holder's entry and raises the fencing number under a granted lease. */
+const beginTerm = async (options: AcquireOptions, {lease, requestedAt, fencing}: LeaseGrant): Promise<AcquireOutcome> => {
+	const {keyValue, clock, self, timing} = options;
 	const holder = await keyValue.compareAndSwap({
 		key: holderKey, value: JSON.stringify(self), expected: 0, lease,
 	});
 	if (holder.kind !== 'applied') {
-		return giveUp(ports, lease, holder.kind === 'rejected' ? {kind: 'taken'} : {kind: 'failed', reason: holder.reason});
+		return releaseLease(options, lease, holder.kind === 'rejected' ? {kind: 'taken'} : {kind: 'failed', reason: holder.reason});
 	}
 
 	const fencingNumber = fencing.number + 1;
 	const raised = await keyValue.compareAndSwap({key: fencingKey, value: String(fencingNumber), expected: fencing.revision});
 	if (raised.kind !== 'applied') {
 		const reason = raised.kind === 'rejected' ? 'fencing-number-taken' : raised.reason;
-		return giveUp(ports, lease, {kind: 'failed', reason});
+		return releaseLease(options, lease, {kind: 'failed', reason});
 	}
 
 	const term: Term = {
-		fencingNumber, lease, validUntil: getValidUntil(askedAt, timing), waitsUntil: getWaitsUntil(clock.monotonic(), timing),
+		fencingNumber, lease, validUntil: getValidUntil(requestedAt, timing), unfencedOrdersFrom: getUnfencedOrdersFrom(clock.monotonic(), timing),
 	};
 	return {kind: 'acquired', term};
 };
 
 /**
-Tries once to become the holder.
+Attempts once to become the lease holder.
 
-The fencing number is read before the holder's entry is taken and raised after it, so of two holders the later one has the higher number. A write whose outcome isn't known is never relied on: the lease is given up.
+The fencing number is read before the holder's entry is written and raised after it, so that of two holders the later one has the higher number. After a write of unknown outcome the lease is released, as the write can't be relied on.
 */
-export const acquireTerm = async (ports: AcquirePorts): Promise<AcquireOutcome> => {
-	const {keyValue, clock, timing} = ports;
+export const acquireTerm = async (options: AcquireOptions): Promise<AcquireOutcome> => {
+	const {keyValue, clock, timing} = options;
 	const holder = await keyValue.read(holderKey);
 	if (holder.kind !== 'absent') {
 		return holder.kind === 'found' ? {kind: 'taken'} : {kind: 'failed', reason: holder.reason};
 	}
 
-	const fencing = await readFencing(keyValue);
+	const fencing = await readFencingRecord(keyValue);
 	if (fencing === undefined) {
 		return {kind: 'failed', reason: 'fencing-number-unread'};
 	}
 
-	const askedAt = clock.monotonic();
+	const requestedAt = clock.monotonic();
 	const granted = await keyValue.grantLease(timing.lease);
 	if (granted.kind !== 'held') {
 		return {kind: 'failed', reason: granted.kind === 'lost' ? granted.kind : granted.reason};
 	}
 
-	return claimTerm(ports, {lease: granted.lease, askedAt, fencing});
+	return beginTerm(options, {lease: granted.lease, requestedAt, fencing});
 };
--- a/packages/placement/src/lease/holder.ts
+++ b/packages/placement/src/lease/leader-election.ts
@@ -1,64 +1,65 @@
 import type {Cancel, Random} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {Milliseconds} from '@gentianlift/types';
-import {acquireTerm, type AcquirePorts} from './acquire-term.js';
-import {getValidUntil, isValid, type Term} from './term.js';
+import {acquireTerm, type AcquireOptions} from './acquire-term.js';
+import {getValidUntil, isTermValid, type Term} from './term.js';
 
-/** What keeps the lease, or waits for it. */
-export type Holder = {
-	/** The term in which this host may act now; undefined when it holds no lease. */
+/** Participation of a host in the leader election: acquires the lease when it is free, and renews it. */
+export type LeaderElection = {
+	/** Returns the current term of this host; undefined when it does not hold a valid lease. */
 	getTerm: () => Term | undefined;
-	/** Gives up the term, as after an engine has seen a higher fencing number. */
+	/** Ends the term, for example after an engine has seen a higher fencing number. */
 	stepDown: (reason: string) => Promise<void>;
 	start: () => void;
+	/** Stops and releases the lease. */
 	stop: () => Promise<void>;
 };
 
-/** What a holder needs. */
-export type HolderPorts = AcquirePorts & {
+/** Dependencies of a leader election. */
+export type LeaderElectionOptions = AcquireOptions & {
 	random: Random;
 	metrics: Metrics;
-	/** Whether this host should try to become the holder. */
+	/** Whether this host should try to acquire the lease. */
 	isCandidate: () => boolean;
 };
 
-/** Part of an interval by which it varies. */
-const jitter = 0.2;
+/** Maximum fraction by which an interval is randomly shortened. */
+const jitterFraction = 0.2;
 
-/** Creates a host's part in the lease; it does nothing before its start. */
-export const createHolder = (ports: HolderPorts): Holder => {
-	const {clock, keyValue, timing, metrics, random} = ports;
+/** Creates the leader election of a host; it is inactive until started. */
+export const createLeaderElection = (options: LeaderElectionOptions): LeaderElection => {
+	const {clock, keyValue, timing, metrics, random} = options;
 	let term: Term | undefined;
 	let cancel: Cancel | undefined;
 	let isRunning = false;
 
-	const setTerm = (next: Term | undefined): void => {
+	const updateTerm = (next: Term | undefined): void => {
 		term = next;
 		metrics.setGauge('placement_holder', next === undefined ? 0 : 1);
 		metrics.setGauge('placement_fencing_number', next?.fencingNumber ?? 0);
 	};
 
-	const lose = (reason: string): void => {
-		setTerm(undefined);
+	const loseTerm = (reason: string): void => {
+		updateTerm(undefined);
 		metrics.count('placement_lease_losses_total', {reason});
 	};
 
-	const renew = async (held: Term): Promise<void> => {
-		const askedAt = clock.monotonic();
+	const renewTerm = async (held: Term): Promise<void> => {
+		const requestedAt = clock.monotonic();
 		const outcome = await keyValue.renewLease(held.lease);
 		if (term !== held) {
 			return;
 		}
 
 		if (outcome.kind === 'held') {
-			setTerm({...held, validUntil: getValidUntil(askedAt, timing)});
+			updateTerm({...held, validUntil: getValidUntil(requestedAt, timing)});
 		} else if (outcome.kind === 'lost') {
-			lose('lapsed');
+			loseTerm('lapsed');
 		}
 	};
 
-	const acquire = async (): Promise<void> => {
-		const outcome = await acquireTerm(ports);
+	const tryAcquireTerm = async (): Promise<void> => {
+		const outcome = await acquireTerm(options);
 		if (outcome.kind !== 'acquired') {
 			metrics.count('placement_acquisitions_total', {outcome: outcome.kind});
 			return;
@@ -70,12 +71,12 @@
 			return;
 		}
 
-		setTerm(outcome.term);
+		updateTerm(outcome.term);
 	};
 
 	const getTerm = (): Term | undefined => {
-		if (term !== undefined && !isValid(term, clock.monotonic())) {
-			lose('expired');
+		if (term !== undefined && !isTermValid(term, clock.monotonic())) {
+			loseTerm('expired');
 		}
 
 		return term;
@@ -84,9 +85,9 @@
 	const run = async (): Promise<void> => {
 		const held = getTerm();
 		if (held !== undefined) {
-			await renew(held);
-		} else if (ports.isCandidate()) {
-			await acquire();
+			await renewTerm(held);
+		} else if (options.isCandidate()) {
+			await tryAcquireTerm();
 		}
 
 		schedule();
@@ -97,8 +98,8 @@
 			return;
 		}
 
-		const interval: Milliseconds = term === undefined ? timing.poll : timing.renewal;
-		cancel = clock.after(interval * (1 - (jitter * random.next())), () => {
+		const interval: Milliseconds = term === undefined ? timing.pollInterval : timing.renewalInterval;
+		cancel = clock.after(interval * (1 - (jitterFraction * random.next())), () => {
 			void run();
 		});
 	};
@@ -106,7 +107,7 @@
 	const stepDown = async (reason: string): Promise<void> => {
 		const held = term;
 		if (held !== undefined) {
-			lose(reason);
+			loseTerm(reason);
 			await keyValue.endLease(held.lease);
 		}
 	};
--- a/packages/placement/src/lease/lease.test.ts
+++ b/packages/placement/src/lease/lease.test.ts
@@ -3,77 +3,77 @@
 import {createMetrics} from '@gentianlift/metrics';
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import {
-	acquireTerm, createHolder, defaultTiming, mayOrder, type AcquirePorts,
+	acquireTerm, createLeaderElection, defaultTiming, mayOrder, type AcquireOptions,
 } from '../index.js';
 
 const createFleet = () => {
 	const clock = createManualClock();
 	const keyValue = createMemoryKeyValue({clock, random: createRandom(1)});
-	const getPorts = (host: string): AcquirePorts => ({
+	const getOptions = (host: string): AcquireOptions => ({
 		keyValue, clock, timing: defaultTiming, self: {host, incarnation: 1},
 	});
-	const createMember = (host: string) => createHolder({
-		...getPorts(host), random: createRandom(2), metrics: createMetrics(), isCandidate: () => true,
+	const createElection = (host: string) => createLeaderElection({
+		...getOptions(host), random: createRandom(2), metrics: createMetrics(), isCandidate: () => true,
 	});
 	return {
-		clock, keyValue, getPorts, createMember,
+		clock, keyValue, getOptions, createElection,
 	};
 };
 
-test('one of two hosts holds the lease, and the number rises', async () => {
-	const {clock, createMember} = createFleet();
-	const [first, second] = [createMember('a'), createMember('b')];
+test('only one of two hosts holds the lease, and the fencing number rises', async () => {
+	const {clock, createElection} = createFleet();
+	const [first, second] = [createElection('a'), createElection('b')];
 	first.start();
 	await clock.advance(1);
 	second.start();
 	await clock.advance(60_000);
 	expect([first.getTerm()?.fencingNumber, second.getTerm()]).toEqual([1, undefined]);
 	await first.stop();
-	await clock.advance(defaultTiming.poll);
+	await clock.advance(defaultTiming.pollInterval);
 	expect([first.getTerm(), second.getTerm()?.fencingNumber]).toEqual([undefined, 2]);
 });
 
-test('a paused holder no longer acts once its lease has lapsed', async () => {
-	const {clock, createMember} = createFleet();
-	const holder = createMember('a');
-	holder.start();
+test('a paused holder has no term once its lease has lapsed', async () => {
+	const {clock, createElection} = createFleet();
+	const election = createElection('a');
+	election.start();
 	await clock.advance(1);
-	const term = holder.getTerm();
-	clock.pause(defaultTiming.lease - defaultTiming.margin + 1);
-	expect([term?.fencingNumber, holder.getTerm()]).toEqual([1, undefined]);
+	const term = election.getTerm();
+	clock.pause(defaultTiming.lease - defaultTiming.validityMargin + 1);
+	expect([term?.fencingNumber, election.getTerm()]).toEqual([1, undefined]);
 });
 
-test('keeps the lease through a short outage, not through a long one', async () => {
-	const {clock, keyValue, createMember} = createFleet();
-	const holder = createMember('a');
-	holder.start();
+test('keeps the lease during a short outage, not during a long one', async () => {
+	const {clock, keyValue, createElection} = createFleet();
+	const election = createElection('a');
+	election.start();
 	await clock.advance(1);
 	keyValue.setFaults({outage: true});
 	await clock.advance(5000);
-	expect(holder.getTerm()?.fencingNumber).toBe(1);
+	expect(election.getTerm()?.fencingNumber).toBe(1);
 	await clock.advance(10_000);
-	expect(holder.getTerm()).toBeUndefined();
+	expect(election.getTerm()).toBeUndefined();
 	keyValue.setFaults({outage: false});
 	await clock.advance(15_000);
-	expect(holder.getTerm()?.fencingNumber).toBe(2);
+	expect(election.getTerm()?.fencingNumber).toBe(2);
 });
 
-test('gives up after a write of unknown outcome', async () => {
+test('releases the lease after a write of unknown outcome', async () => {
 	for (const faults of [['lost-reply'], ['late'], ['dropped']] as const) {
-		const {keyValue, getPorts} = createFleet();
+		const {keyValue, getOptions} = createFleet();
 		keyValue.failWrites(...faults);
 		// eslint-disable-next-line no-await-in-loop -- Each case has its own fleet.
-		expect(await acquireTerm(getPorts('a'))).toMatchObject({kind: 'failed'});
+		expect(await acquireTerm(getOptions('a'))).toMatchObject({kind: 'failed'});
 		// eslint-disable-next-line no-await-in-loop -- Each case has its own fleet.
-		expect(await acquireTerm(getPorts('b'))).toMatchObject({kind: 'acquired'});
+		expect(await acquireTerm(getOptions('b'))).toMatchObject({kind: 'acquired'});
 	}
 });
 
-test('an engine that ignores numbers gets orders only when earlier ones have ended', () => {
+test('an engine that ignores fencing numbers gets orders only after earlier ones have ended', () => {
 	const term = {
-		fencingNumber: 2, lease: 'l', validUntil: 9000, waitsUntil: 8000,
+		fencingNumber: 2, lease: 'l', validUntil: 9000, unfencedOrdersFrom: 8000,
 	};
-	const may = (fencing: 'checked' | 'ignored', now: number, order = 500) => mayOrder(term, fencing, now, {order});
-	expect([may('checked', 0), may('checked', 8999), may('checked', 9000)]).toEqual([true, true, false]);
-	expect([may('ignored', 7999), may('ignored', 8000), may('ignored', 8600)]).toEqual([false, true, false]);
+	const isAllowed = (fencing: 'checked' | 'ignored', now: number, orderTimeout = 500) => mayOrder(term, fencing, now, {orderTimeout});
+	expect([isAllowed('checked', 0), isAllowed('checked', 8999), isAllowed('checked', 9000)]).toEqual([true, true, false]);
+	expect([isAllowed('ignored', 7999), isAllowed('ignored', 8000), isAllowed('ignored', 8600)]).toEqual([false, true, false]);
 });
--- a/packages/placement/src/lease/term.ts
+++ b/packages/placement/src/lease/term.ts
@@ -1,42 +1,42 @@
 import type {Fencing, Milliseconds} from '@gentianlift/types';
 import type {Timing} from '../timing.js';
 
-/** The time for which a host holds the lease. */
+/** Period during which a host holds the lease. */
 export type Term = {
-	/** Higher than that of each earlier holder. */
+	/** Higher than the fencing number of each earlier term. */
 	fencingNumber: number;
-	/** Name of the lease at the service. */
+	/** Id of the lease in the key-value service. */
 	lease: string;
-	/** Moment on the monotonic clock after which the holder must not act. */
+	/** Moment on the monotonic clock from which the holder must not act. */
 	validUntil: Milliseconds;
-	/** Moment on the monotonic clock from which engines that ignore fencing numbers get orders. */
-	waitsUntil: Milliseconds;
+	/** Moment on the monotonic clock from which orders may go to engines that ignore fencing numbers. */
+	unfencedOrdersFrom: Milliseconds;
 };
 
-/** Gets the moment up to which a lease that was asked for at `askedAt` is safely held: the service counts from a later moment. */
-export const getValidUntil = (askedAt: Milliseconds, {lease, margin}: Pick<Timing, 'lease' | 'margin'>): Milliseconds =>
-	askedAt + lease - margin;
+/** Returns the end of the safe validity of a lease that was requested at `requestedAt`. The service grants the lease later, so it ends the lease later too. */
+export const getValidUntil = (requestedAt: Milliseconds, {lease, validityMargin}: Pick<Timing, 'lease' | 'validityMargin'>): Milliseconds =>
+	requestedAt + lease - validityMargin;
 
-/** Gets the moment up to which orders of earlier holders may still arrive. */
-export const getWaitsUntil = (acquiredAt: Milliseconds, {orderLifetime}: Pick<Timing, 'orderLifetime'>): Milliseconds =>
+/** Returns the moment from which no order of an earlier holder can arrive any more. */
+export const getUnfencedOrdersFrom = (acquiredAt: Milliseconds, {orderLifetime}: Pick<Timing, 'orderLifetime'>): Milliseconds =>
 	acquiredAt + orderLifetime;
 
-/** Whether the term still runs. */
-export const isValid = (term: Term, now: Milliseconds): boolean => now < term.validUntil;
+/** Whether the term is still valid. */
+export const isTermValid = (term: Term, now: Milliseconds): boolean => now < term.validUntil;
 
 /**
 Whether an order may be sent now.
 
-An engine that checks fencing numbers refuses a late one itself. For one that ignores them the order must end within the lease, and earlier holders' orders must have ended.
+An engine that checks fencing numbers refuses stale orders itself. For an engine that ignores them, the order must end within the term, and the orders of earlier holders must have ended.
 */
-export const mayOrder = (term: Term, fencing: Fencing, now: Milliseconds, {order}: Pick<Timing, 'order'>): boolean => {
+export const mayOrder = (term: Term, fencing: Fencing, now: Milliseconds, {orderTimeout}: Pick<Timing, 'orderTimeout'>): boolean => {
 	switch (fencing) {
 		case 'checked': {
-			return isValid(term, now);
+			return isTermValid(term, now);
 		}
 
 		case 'ignored': {
-			return now >= term.waitsUntil && isValid(term, now + order);
+			return now >= term.unfencedOrdersFrom && isTermValid(term, now + orderTimeout);
 		}
 	}
 };
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -18,7 +18,7 @@
 	rules: {tiers: [], classes: []},
 });
 
-const createTrial = (outcomes: OrderOutcome[], fencing: Engine['fencing'] = 'checked') => {
+const createSetup = (outcomes: OrderOutcome[], fencing: Engine['fencing'] = 'checked') => {
 	const clock = createManualClock();
 	const keyValue = createMemoryKeyValue({clock, random: createRandom(1)});
 	const sent: FencedOrder[] = [];
@@ -30,7 +30,7 @@
 		return outcomes.shift() ?? {kind: 'accepted'};
 	};
 
-	const create = (host: string) => createPlacement({
+	const createHostPlacement = (host: string) => createPlacement({
 		clock, keyValue, sendOrder, random: createRandom(3), metrics: createMetrics(), self: {host, incarnation: 1},
 		weightStore: {readRate: async () => ({bytesPerSecond: 1e9, bytesUnderWay: 0})},
 		getDemand: () => [],
@@ -38,42 +38,42 @@
 		getLoadReports: () => new Map([['e1', report]]),
 	});
 	return {
-		clock, sent, report, create,
+		clock, sent, report, createHostPlacement,
 	};
 };
 
-test('repeats an order of unknown outcome under the same id, then sends it no more', async () => {
-	const {clock, sent, create} = createTrial([{kind: 'unknown', reason: 'silent'}]);
-	const placement = create('a');
+test('retries an order of unknown outcome under the same id until it is accepted', async () => {
+	const {clock, sent, createHostPlacement} = createSetup([{kind: 'unknown', reason: 'silent'}]);
+	const placement = createHostPlacement('a');
 	placement.start();
 	await clock.advance(20_000);
 	expect(sent.map(({id}) => id)).toEqual(['1.1', '1.1']);
 	await placement.stop();
 });
 
-test('a stale answer ends the term, and the next has a higher number', async () => {
-	const {clock, sent, create} = createTrial([{kind: 'stale', highest: 7}]);
-	const placement = create('a');
+test('a stale outcome ends the term, and the next one has a higher fencing number', async () => {
+	const {clock, sent, createHostPlacement} = createSetup([{kind: 'stale', highest: 7}]);
+	const placement = createHostPlacement('a');
 	placement.start();
 	await clock.advance(20_000);
 	expect(sent.map(({fencingNumber}) => fencingNumber)).toEqual([1, 2]);
 	await placement.stop();
 });
 
-test('waits out earlier orders for an engine that ignores numbers', async () => {
-	const {clock, sent, create} = createTrial([], 'ignored');
-	const placement = create('a');
+test('waits for earlier orders to end before it sends to an engine that ignores fencing numbers', async () => {
+	const {clock, sent, createHostPlacement} = createSetup([], 'ignored');
+	const placement = createHostPlacement('a');
 	placement.start();
 	await clock.advance(defaultTiming.orderLifetime - 1);
 	expect(sent).toEqual([]);
-	await clock.advance(3 * defaultTiming.plan);
+	await clock.advance(3 * defaultTiming.planInterval);
 	expect(sent).toHaveLength(1);
 	await placement.stop();
 });
 
-test('sends nothing after a pause past the lease, until it holds a new one', async () => {
-	const {clock, sent, report, create} = createTrial([]);
-	const placement = create('a');
+test('sends nothing after a pause beyond the lease until it holds a new one', async () => {
+	const {clock, sent, report, createHostPlacement} = createSetup([]);
+	const placement = createHostPlacement('a');
 	report.models.push('small');
 	placement.start();
 	await clock.advance(3000);
--- a/packages/placement/src/placement.ts
+++ b/packages/placement/src/placement.ts
@@ -3,28 +3,28 @@
 import type {
 	Configuration, KeyValueService, LoadReport, UpstreamId, WeightStore,
 } from '@gentianlift/types';
-import {createDispatch, type SendOrder} from './dispatch.js';
-import type {Self} from './lease/acquire-term.js';
-import {createHolder} from './lease/holder.js';
+import {createOrderDispatcher, type SendOrder} from './order-dispatcher.js';
+import type {HostIncarnation} from './lease/acquire-term.js';
+import {createLeaderElection} from './lease/leader-election.js';
 import {planOrders} from './plan/plan-orders.js';
-import {noPressure, type Demand, type Pressure} from './plan/types.js';
+import {emptyPlanHistory, type Demand, type PlanHistory} from './plan/types.js';
 import {defaultTiming, type Timing} from './timing.js';
 
-/** What placement needs of its host. */
-export type PlacementPorts = {
+/** Dependencies and options of placement. */
+export type PlacementOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	self: Self;
+	self: HostIncarnation;
 	keyValue: KeyValueService;
 	weightStore: WeightStore;
 	sendOrder: SendOrder;
-	/** Demand over all hosts, as far as this one knows it. */
+	/** Returns the demand of all hosts, as far as this host knows it. */
 	getDemand: () => Demand[];
 	getConfiguration: () => Configuration | undefined;
-	/** Newest report of each engine that has answered within the last seconds. */
+	/** Returns the latest report of each engine that has answered recently. */
 	getLoadReports: () => ReadonlyMap<UpstreamId, LoadReport>;
-	/** Whether this host should try to hold the lease; a large fleet lets only a few try. */
+	/** Whether this host should try to acquire the lease; in a large fleet only a few hosts do. */
 	isCandidate?: () => boolean;
 	timing?: Timing;
 };
@@ -32,61 +32,62 @@
 /** Places models, adapters and roles on engines while this host holds the lease. */
 export type Placement = {
 	start: () => void;
-	/** Stops planning, waits for orders under way and gives up the lease. */
+	/** Stops planning, waits for the orders in flight and releases the lease. */
 	stop: () => Promise<void>;
-	/** Fencing number under which this host gives orders; undefined if it doesn't. */
+	/** Returns the fencing number of this host's orders; undefined when it does not hold the lease. */
 	getFencingNumber: () => number | undefined;
-	/** Plans and sends once. */
+	/** Plans and sends orders once, if this host holds the lease. */
 	run: () => Promise<void>;
 };
 
-/** Creates a host's placement; it does nothing before its start. */
-export const createPlacement = (ports: PlacementPorts): Placement => {
-	const {clock, metrics} = ports;
-	const timing = ports.timing ?? defaultTiming;
-	const holder = createHolder({...ports, timing, isCandidate: ports.isCandidate ?? (() => true)});
-	const dispatch = createDispatch({
-		clock, metrics, timing, holder, sendOrder: ports.sendOrder,
+/** Creates the placement of a host; it is inactive until started. */
+export const createPlacement = (options: PlacementOptions): Placement => {
+	const {clock, metrics} = options;
+	const timing = options.timing ?? defaultTiming;
+	const election = createLeaderElection({...options, timing, isCandidate: options.isCandidate ?? (() => true)});
+	const dispatcher = createOrderDispatcher({
+		clock, metrics, timing, election, sendOrder: options.sendOrder,
 	});
-	let pressure: Pressure = noPressure;
-	let plannedFor: number | undefined;
-	let underWay: Promise<void> = Promise.resolve();
+	let history: PlanHistory = emptyPlanHistory;
+	let currentFencingNumber: number | undefined;
+	let currentRun: Promise<void> = Promise.resolve();
 	let cancel: Cancel | undefined;
 
-	const startTerm = (fencingNumber: number): void => {
-		if (plannedFor !== fencingNumber) {
-			plannedFor = fencingNumber;
-			pressure = noPressure;
-			dispatch.clear();
+	/** Discards the history and the orders of an earlier term. */
+	const resetOnNewTerm = (fencingNumber: number): void => {
+		if (currentFencingNumber !== fencingNumber) {
+			currentFencingNumber = fencingNumber;
+			history = emptyPlanHistory;
+			dispatcher.clear();
 		}
 	};
 
 	const plan = async (configuration: Configuration): Promise<void> => {
 		const {engines, models, adapters} = configuration.inventory;
-		const reports = ports.getLoadReports();
-		const rate = await ports.weightStore.readRate();
+		const reports = options.getLoadReports();
+		const rate = await options.weightStore.readRate();
 		const next = planOrders({
-			now: clock.monotonic(), engines, models, adapters, reports, demands: ports.getDemand(), pending: dispatch.getPending(), rate, pressure,
+			now: clock.monotonic(), engines, models, adapters, reports, demands: options.getDemand(), pending: dispatcher.getPending(), rate, history,
 		});
-		pressure = next.pressure;
-		dispatch.add(next.orders);
-		await dispatch.run(reports);
+		history = next.history;
+		dispatcher.add(next.orders);
+		await dispatcher.run(reports);
 	};
 
 	const run = async (): Promise<void> => {
-		const term = holder.getTerm();
-		const configuration = ports.getConfiguration();
+		const term = election.getTerm();
+		const configuration = options.getConfiguration();
 		if (term === undefined || configuration === undefined) {
 			return;
 		}
 
-		startTerm(term.fencingNumber);
-		underWay = plan(configuration);
-		await underWay;
+		resetOnNewTerm(term.fencingNumber);
+		currentRun = plan(configuration);
+		await currentRun;
 	};
 
 	const schedule = (): void => {
-		cancel = clock.after(timing.plan, () => {
+		cancel = clock.after(timing.planInterval, () => {
 			void run().finally(() => {
 				if (cancel !== undefined) {
 					schedule();
@@ -97,16 +98,16 @@
 
 	return {
 		start() {
-			holder.start();
+			election.start();
 			schedule();
 		},
 		async stop() {
 			cancel?.();
 			cancel = undefined;
-			await underWay;
-			await holder.stop();
+			await currentRun;
+			await election.stop();
 		},
-		getFencingNumber: () => holder.getTerm()?.fencingNumber,
+		getFencingNumber: () => election.getTerm()?.fencingNumber,
 		run,
 	};
 };
--- a/packages/placement/src/plan/plan-orders.test.ts
+++ b/packages/placement/src/plan/plan-orders.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import type {Engine, LoadReport} from '@gentianlift/types';
 import {
-	coolDown, loadAfter, noPressure, planOrders, unloadAfter, type Demand, type PlanInput,
+	changeCooldown, minShortageDuration, emptyPlanHistory, planOrders, minIdleDuration, type Demand, type PlanInput,
 } from '../index.js';
 
 const getEngine = (id: string, change: Partial<Engine> = {}): Engine => ({
@@ -25,51 +25,51 @@
 	demands: [],
 	pending: new Map(),
 	rate: {bytesPerSecond: 1e9, bytesUnderWay: 0},
-	pressure: noPressure,
+	history: emptyPlanHistory,
 	...change,
 });
 
-const shortDemand = [getDemand('small', {running: 16, waiting: 8})];
+const excessDemand = [getDemand('small', {running: 16, waiting: 8})];
 
-test('loads a model that no engine holds, the highest tier first', () => {
+test('loads models that no engine has, the highest tier first', () => {
 	const reports = new Map([['e1', getReport([])], ['e2', getReport([])]]);
 	const {orders} = planOrders(getInput({reports, demands: [getDemand('large', {running: 1})]}));
 	expect(orders.map(({engine, order}) => [engine.id, order.kind === 'load' && order.model])).toEqual([['e1', 'large'], ['e2', 'small']]);
 });
 
-test('loads for a lasting shortage, not for a short one', () => {
-	const first = planOrders(getInput({demands: shortDemand}));
-	const later = planOrders(getInput({demands: shortDemand, now: loadAfter, pressure: first.pressure}));
-	const quiet = planOrders(getInput({now: loadAfter - 1, pressure: first.pressure}));
-	const again = planOrders(getInput({demands: shortDemand, now: loadAfter, pressure: quiet.pressure}));
-	expect([first.orders, again.orders]).toEqual([[], []]);
+test('loads on a lasting shortage, not on a short one', () => {
+	const first = planOrders(getInput({demands: excessDemand}));
+	const later = planOrders(getInput({demands: excessDemand, now: minShortageDuration, history: first.history}));
+	const withoutDemand = planOrders(getInput({now: minShortageDuration - 1, history: first.history}));
+	const afterGap = planOrders(getInput({demands: excessDemand, now: minShortageDuration, history: withoutDemand.history}));
+	expect([first.orders, afterGap.orders]).toEqual([[], []]);
 	expect(later.orders).toMatchObject([{engine: {id: 'e3'}, order: {kind: 'load', model: 'small'}}]);
 });
 
-test('a load under way counts as done', () => {
-	const pressure = {...noPressure, shortSince: new Map([['small', 0]])};
+test('counts a pending load as loaded', () => {
+	const history = {...emptyPlanHistory, scarceSince: new Map([['small', 0]])};
 	const {orders} = planOrders(getInput({
-		demands: [getDemand('small', {running: 18})], now: loadAfter, pressure, pending: new Map([['e3', {kind: 'load', model: 'small', version: 'newest'}]]),
+		demands: [getDemand('small', {running: 18})], now: minShortageDuration, history, pending: new Map([['e3', {kind: 'load', model: 'small', version: 'newest'}]]),
 	}));
 	expect(orders).toEqual([]);
 });
 
-test('leaves an engine alone after a change', () => {
-	const pressure = {...noPressure, shortSince: new Map([['small', 0]]), changedAt: new Map([['e3', 0]])};
-	expect(planOrders(getInput({demands: shortDemand, now: coolDown - 1, pressure})).orders).toEqual([]);
-	expect(planOrders(getInput({demands: shortDemand, now: coolDown, pressure})).orders).toHaveLength(1);
+test('does not change an engine during its cooldown', () => {
+	const history = {...emptyPlanHistory, scarceSince: new Map([['small', 0]]), changedAt: new Map([['e3', 0]])};
+	expect(planOrders(getInput({demands: excessDemand, now: changeCooldown - 1, history})).orders).toEqual([]);
+	expect(planOrders(getInput({demands: excessDemand, now: changeCooldown, history})).orders).toHaveLength(1);
 });
 
-test('does not take an engine that a higher tier fills', () => {
-	const pressure = {...noPressure, shortSince: new Map([['small', 0]])};
+test('does not load on an engine that a higher tier fully uses', () => {
+	const history = {...emptyPlanHistory, scarceSince: new Map([['small', 0]])};
 	const reports = new Map([['e1', getReport(['small'], {running: 8})], ['e3', getReport(['large'], {running: 8})]]);
 	const demands = [getDemand('small', {running: 8, waiting: 8, rank: 1}), getDemand('large', {running: 8, waiting: 2, rank: 0})];
 	expect(planOrders(getInput({
-		demands, now: loadAfter, pressure, reports,
+		demands, now: minShortageDuration, history, reports,
 	})).orders).toEqual([]);
 });
 
-test('shares the rate of the weight store', () => {
+test('limits loads to the transfer rate of the weight store', () => {
 	const reports = new Map([['e1', getReport([])], ['e2', getReport([])]]);
 	const getOrders = (rate: PlanInput['rate']) => planOrders(getInput({reports, rate})).orders.length;
 	expect(getOrders({bytesPerSecond: 1e9, bytesUnderWay: 0})).toBe(2);
@@ -78,7 +78,7 @@
 	expect(getOrders(undefined)).toBe(0);
 });
 
-test('loads the model before its adapter, on one engine', () => {
+test('loads the model before its adapter, on the same engine', () => {
 	const input = getInput({
 		engines: [getEngine('e1'), getEngine('e2')], models: [{name: 'small', bytes: 1, contextTokens: 1}], adapters: [{name: 'quotes', model: 'small', bytes: 1}],
 	});
@@ -87,18 +87,18 @@
 	const waiting = planOrders({
 		...input, reports: empty, demands: [getDemand('quotes', {waiting: 1})], pending: new Map([['e1', {kind: 'load', model: 'small', version: 'newest'}]]),
 	});
-	const second = planOrders({...input, reports: new Map([['e1', getReport(['small'])], ['e2', getReport([])]]), pressure: first.pressure});
+	const second = planOrders({...input, reports: new Map([['e1', getReport(['small'])], ['e2', getReport([])]]), history: first.history});
 	expect(first.orders).toMatchObject([{engine: {id: 'e1'}, order: {kind: 'load', model: 'small'}}]);
 	expect(waiting.orders).toEqual([]);
 	expect(second.orders).toMatchObject([{engine: {id: 'e1'}, order: {kind: 'load-adapter', adapter: 'quotes'}}]);
 });
 
-test('unloads an idle model only where another is short, and keeps replicas', () => {
+test('unloads an idle model only where another has too few slots, and keeps replicas', () => {
 	const both = getReport(['small', 'large']);
 	const engines = [getEngine('e1'), getEngine('e2'), getEngine('e3')];
-	const pressure = {...noPressure, idleSince: new Map([['large', 0]]), shortSince: new Map()};
+	const history = {...emptyPlanHistory, idleSince: new Map([['large', 0]]), scarceSince: new Map()};
 	const input = getInput({
-		engines, now: unloadAfter, pressure, reports: new Map([['e1', both], ['e2', both], ['e3', both]]),
+		engines, now: minIdleDuration, history, reports: new Map([['e1', both], ['e2', both], ['e3', both]]),
 	});
 	expect(planOrders({...input, demands: [getDemand('small', {running: 12})]}).orders).toEqual([]);
 	const busy = [getDemand('small', {running: 24})];
@@ -107,12 +107,12 @@
 	expect(planOrders({...input, reports: fewer, demands: busy}).orders).toEqual([]);
 });
 
-test('a swing of demand around the limit changes nothing', () => {
-	let pressure = noPressure;
+test('demand that fluctuates around the limit changes nothing', () => {
+	let history = emptyPlanHistory;
 	const orders = Array.from({length: 120}, (_, second) => {
-		const demands = second % 4 === 0 ? [] : shortDemand;
-		const plan = planOrders(getInput({now: second * 1000, demands, pressure}));
-		({pressure} = plan);
+		const demands = second % 4 === 0 ? [] : excessDemand;
+		const plan = planOrders(getInput({now: second * 1000, demands, history}));
+		({history} = plan);
 		return plan.orders.length;
 	});
 	expect(Math.max(...orders)).toBe(0);
--- a/packages/placement/src/plan/plan-orders.ts
+++ b/packages/placement/src/plan/plan-orders.ts
@@ -1,57 +1,59 @@
 import type {
 	Adapter, Engine, EngineOrder, Milliseconds, ModelName, UpstreamId,
 } from '@gentianlift/types';
-import {getPressure, hasLasted} from './pressure.js';
+import {updatePlanHistory, hasLasted} from './plan-history.js';
 import {
-	getHoldings, getSupply, getWants, type Holding, type Want,
-} from './supply.js';
+	getEngineStates, getSuppliedSlots, getSlotDemands, type EngineState, type SlotDemand,
+} from './slot-supply.js';
 import type {
-	Plan, PlanInput, PlannedOrder, Pressure,
+	Plan, PlanInput, PlannedOrder, PlanHistory,
 } from './types.js';
 
-/** How long a name must be short of slots before it is loaded once more. */
-export const loadAfter: Milliseconds = 5000;
-/** How long nobody must have asked for a name before it is unloaded. */
-export const unloadAfter: Milliseconds = 600_000;
-/** How long an engine is left alone after a change. */
-export const coolDown: Milliseconds = 60_000;
-/** Longest time that the weight store may take for all that is under way. */
-export const longestLoad: Milliseconds = 60_000;
-/** Slots that a name gets beyond those wanted. */
-const headroom = 1.2;
-/** Engines on which a name stays when it is unloaded elsewhere. */
-const minimumReplicas = 2;
+/** Time for which a name must have had too few slots before it is loaded on another engine. */
+export const minShortageDuration: Milliseconds = 5000;
+/** Time without demand for a name after which it may be unloaded. */
+export const minIdleDuration: Milliseconds = 600_000;
+/** Minimum time between two changes of an engine; a model or adapter that is missing altogether may be loaded sooner. */
+export const changeCooldown: Milliseconds = 60_000;
+/** Maximum time in which the weight store must be able to transfer all loads in progress. */
+export const maxLoadDuration: Milliseconds = 60_000;
+/** Factor by which the supplied slots should exceed the demanded ones. */
+const slotHeadroom = 1.2;
+/** Number of engines on which an idle name stays loaded. */
+const minReplicas = 2;
 const millisecondsPerSecond = 1000;
-/** Version that a load asks for, as the inventory names none. */
+/** Version to load, as the inventory specifies none. */
 const newestVersion = 'newest';
 
-type Situation = {
+/** Plan input with the values derived from it. */
+type PlanContext = {
 	input: PlanInput;
-	wants: ReadonlyMap<ModelName, Want>;
-	holdings: Holding[];
-	pressure: Pressure;
+	slotDemands: ReadonlyMap<ModelName, SlotDemand>;
+	engineStates: EngineState[];
+	history: PlanHistory;
 	/** Names with too few slots, the highest tier first. */
-	short: ModelName[];
-	/** Names that no engine holds. */
-	missing: ModelName[];
+	scarceNames: ModelName[];
+	/** Names that are loaded on no engine, the highest tier first. */
+	missingNames: ModelName[];
 };
 
-const isChangeable = ({input, pressure}: Situation, {id}: Engine): boolean => {
-	const changedAt = pressure.changedAt.get(id);
-	return !input.pending.has(id) && (changedAt === undefined || input.now - changedAt >= coolDown);
+/** Whether an engine has no pending order and is past its cooldown. */
+const isChangeable = ({input, history}: PlanContext, {id}: Engine): boolean => {
+	const changedAt = history.changedAt.get(id);
+	return !input.pending.has(id) && (changedAt === undefined || input.now - changedAt >= changeCooldown);
 };
 
 const findAdapter = ({adapters}: PlanInput, name: ModelName): Adapter | undefined => adapters.find(adapter => adapter.name === name);
 
-/** Whether a name may be loaded on an engine that was changed lately: one that nobody holds, or an adapter whose model is there. */
-const isUrgent = ({input, missing}: Situation, {engine, names}: Holding, name: ModelName): boolean => {
+/** Whether a name may be loaded on an engine during its cooldown: one that is loaded nowhere, or an adapter whose model the engine has. */
+const isExemptFromCooldown = ({input, missingNames}: PlanContext, {engine, loaded}: EngineState, name: ModelName): boolean => {
 	const adapter = findAdapter(input, name);
-	const isFollowing = adapter !== undefined && names.has(adapter.model);
-	return !input.pending.has(engine.id) && (isFollowing || missing.includes(name));
+	const isModelLoaded = adapter !== undefined && loaded.has(adapter.model);
+	return !input.pending.has(engine.id) && (isModelLoaded || missingNames.includes(name));
 };
 
-/** Whether the model of an adapter is on its way to an engine that will take the adapter. */
-const isModelUnderWay = ({input}: Situation, name: ModelName): boolean => {
+/** Whether the model of an adapter is being loaded on an engine that may load the adapter next. */
+const isModelLoading = ({input}: PlanContext, name: ModelName): boolean => {
 	const adapter = findAdapter(input, name);
 	return adapter !== undefined && input.engines.some(engine => {
 		const order = input.pending.get(engine.id);
@@ -59,42 +61,46 @@
 	});
 };
 
-const mayHold = (engine: Engine, name: ModelName): boolean => engine.models.includes(name) || engine.adapters.includes(name);
+/** Whether the inventory allows a name on an engine. */
+const isConfiguredFor = (engine: Engine, name: ModelName): boolean => engine.models.includes(name) || engine.adapters.includes(name);
 
-const countHolders = (holdings: Holding[], name: ModelName): number =>
-	holdings.filter(({names, isLeaving}) => names.has(name) && !isLeaving).length;
+const countReplicas = (engineStates: EngineState[], name: ModelName): number =>
+	engineStates.filter(({loaded, isLeaving}) => loaded.has(name) && !isLeaving).length;
 
-/** Whether an engine has slots that a tier may take: free ones, or those of lower tiers. */
-const hasRoom = ({wants}: Situation, {busy, names}: Holding, rank: number): boolean =>
-	busy < 1 || [...names].some(name => (wants.get(name)?.rank ?? -1) > rank);
+/** Whether an engine has slots for a tier: free ones, or those in use by names that only lower tiers request. */
+const hasCapacityFor = ({slotDemands}: PlanContext, {utilisation, loaded}: EngineState, rank: number): boolean =>
+	utilisation < 1 || [...loaded].some(name => (slotDemands.get(name)?.rank ?? -1) > rank);
 
-const getLoadOrder = ({input}: Situation, holding: Holding, name: ModelName): EngineOrder => {
+/** Returns the order that loads a name on an engine; for an adapter without its model, the order that loads the model first. */
+const getLoadOrder = ({input}: PlanContext, engineState: EngineState, name: ModelName): EngineOrder => {
 	const adapter = findAdapter(input, name);
 	if (adapter === undefined) {
 		return {kind: 'load', model: name, version: newestVersion};
 	}
 
-	return holding.names.has(adapter.model)
+	return engineState.loaded.has(adapter.model)
 		? {kind: 'load-adapter', adapter: name}
 		: {kind: 'load', model: adapter.model, version: newestVersion};
 };
 
-const planLoad = (situation: Situation, name: ModelName): PlannedOrder | undefined => {
-	if (isModelUnderWay(situation, name)) {
+/** Plans to load a name on an eligible engine, preferring one that has the model of an adapter, then the least utilised one. */
+const planLoad = (context: PlanContext, name: ModelName): PlannedOrder | undefined => {
+	if (isModelLoading(context, name)) {
 		return undefined;
 	}
 
-	const rank = situation.wants.get(name)?.rank ?? Number.POSITIVE_INFINITY;
-	const model = findAdapter(situation.input, name)?.model ?? name;
-	const candidates = situation.holdings
-		.filter(({engine, names, isLeaving}) => !isLeaving && !names.has(name) && mayHold(engine, name))
-		.filter(holding => isChangeable(situation, holding.engine) || isUrgent(situation, holding, name))
-		.filter(holding => situation.missing.includes(name) || hasRoom(situation, holding, rank))
-		.toSorted((left, right) => Number(right.names.has(model)) - Number(left.names.has(model)) || left.busy - right.busy);
+	const rank = context.slotDemands.get(name)?.rank ?? Number.POSITIVE_INFINITY;
+	const model = findAdapter(context.input, name)?.model ?? name;
+	const candidates = context.engineStates
+		.filter(({engine, loaded, isLeaving}) => !isLeaving && !loaded.has(name) && isConfiguredFor(engine, name))
+		.filter(engineState => isChangeable(context, engineState.engine) || isExemptFromCooldown(context, engineState, name))
+		.filter(engineState => context.missingNames.includes(name) || hasCapacityFor(context, engineState, rank))
+		.toSorted((left, right) => Number(right.loaded.has(model)) - Number(left.loaded.has(model)) || left.utilisation - right.utilisation);
 	const [chosen] = candidates;
-	return chosen === undefined ? undefined : {engine: chosen.engine, order: getLoadOrder(situation, chosen, name)};
+	return chosen === undefined ? undefined : {engine: chosen.engine, order: getLoadOrder(context, chosen, name)};
 };
 
+/** Returns the bytes that an order loads from the weight store. */
 const getBytes = ({models, adapters}: PlanInput, order: EngineOrder): number => {
 	switch (order.kind) {
 		case 'load': {
@@ -113,34 +119,35 @@
 	}
 };
 
-/** Takes loads in order as long as the weight store can bring them in time; a lone load always fits. */
+/** Keeps the loads, in order, that the weight store can transfer within `maxLoadDuration`; a load is always kept if no other is in progress. */
 const limitLoads = (input: PlanInput, orders: PlannedOrder[]): PlannedOrder[] => {
 	if (input.rate === undefined) {
 		return [];
 	}
 
-	const limit = input.rate.bytesPerSecond * longestLoad / millisecondsPerSecond;
+	const limit = input.rate.bytesPerSecond * maxLoadDuration / millisecondsPerSecond;
 	let bytes = input.rate.bytesUnderWay;
 	return orders.filter(({order}) => {
 		const next = bytes + getBytes(input, order);
-		const isTaken = bytes === 0 || next <= limit;
-		bytes = isTaken ? next : bytes;
-		return isTaken;
+		const isKept = bytes === 0 || next <= limit;
+		bytes = isKept ? next : bytes;
+		return isKept;
 	});
 };
 
-const planLoads = (situation: Situation): PlannedOrder[] => {
-	const {input, missing, short, pressure} = situation;
-	const lasting = short.filter(name => hasLasted(pressure.shortSince.get(name), input.now, loadAfter));
-	const taken = new Set<UpstreamId>();
-	const loaded = new Set<ModelName>();
+/** Plans loads of names that are loaded nowhere or have had too few slots for some time, one load per engine. */
+const planLoads = (context: PlanContext): PlannedOrder[] => {
+	const {input, missingNames, scarceNames, history} = context;
+	const lastingShortages = scarceNames.filter(name => hasLasted(history.scarceSince.get(name), input.now, minShortageDuration));
+	const usedEngines = new Set<UpstreamId>();
+	const plannedNames = new Set<ModelName>();
 	const orders: PlannedOrder[] = [];
-	for (const name of new Set([...missing, ...lasting])) {
-		const free = situation.holdings.filter(({engine}) => !taken.has(engine.id));
-		const planned = loaded.has(name) ? undefined : planLoad({...situation, holdings: free}, name);
+	for (const name of new Set([...missingNames, ...lastingShortages])) {
+		const availableEngines = context.engineStates.filter(({engine}) => !usedEngines.has(engine.id));
+		const planned = plannedNames.has(name) ? undefined : planLoad({...context, engineStates: availableEngines}, name);
 		if (planned !== undefined) {
-			taken.add(planned.engine.id);
-			loaded.add(planned.order.kind === 'load' ? planned.order.model : name);
+			usedEngines.add(planned.engine.id);
+			plannedNames.add(planned.order.kind === 'load' ? planned.order.model : name);
 			orders.push(planned);
 		}
 	}
@@ -148,54 +155,55 @@
 	return limitLoads(input, orders);
 };
 
-const getUnloadOrder = ({input}: Situation, name: ModelName): EngineOrder =>
+const getUnloadOrder = ({input}: PlanContext, name: ModelName): EngineOrder =>
 	findAdapter(input, name) === undefined ? {kind: 'unload', model: name} : {kind: 'unload-adapter', adapter: name};
 
-/** Plans to free an engine's memory of an idle name, where another name on the engine is short of slots. */
-const planUnloads = (situation: Situation): PlannedOrder[] => {
-	const {input, pressure, holdings, short} = situation;
-	const idle = [...pressure.idleSince].filter(([, since]) => hasLasted(since, input.now, unloadAfter)).map(([name]) => name);
+/** Plans to unload idle names from engines on which another name has too few slots. */
+const planUnloads = (context: PlanContext): PlannedOrder[] => {
+	const {input, history, engineStates, scarceNames} = context;
+	const idle = [...history.idleSince].filter(([, since]) => hasLasted(since, input.now, minIdleDuration)).map(([name]) => name);
 	return idle.flatMap(name => {
-		const isNeeded = input.adapters.some(adapter => adapter.model === name && situation.wants.has(adapter.name));
-		if (isNeeded || countHolders(holdings, name) <= minimumReplicas) {
+		const isNeeded = input.adapters.some(adapter => adapter.model === name && context.slotDemands.has(adapter.name));
+		if (isNeeded || countReplicas(engineStates, name) <= minReplicas) {
 			return [];
 		}
 
-		const holding = holdings.find(({engine, names}) =>
-			names.has(name) && isChangeable(situation, engine) && short.some(other => names.has(other)));
-		return holding === undefined ? [] : [{engine: holding.engine, order: getUnloadOrder(situation, name)}];
+		const engineState = engineStates.find(({engine, loaded}) =>
+			loaded.has(name) && isChangeable(context, engine) && scarceNames.some(other => loaded.has(other)));
+		return engineState === undefined ? [] : [{engine: engineState.engine, order: getUnloadOrder(context, name)}];
 	});
 };
 
-const planRoles = (situation: Situation): PlannedOrder[] => situation.holdings
-	.filter(({engine}) => situation.input.reports.get(engine.id)?.role !== engine.role && isChangeable(situation, engine))
+/** Plans changes of role for engines whose role differs from the inventory. */
+const planRoles = (context: PlanContext): PlannedOrder[] => context.engineStates
+	.filter(({engine}) => context.input.reports.get(engine.id)?.role !== engine.role && isChangeable(context, engine))
 	.map(({engine}) => ({engine, order: {kind: 'change-role', role: engine.role}}));
 
-const getSituation = (input: PlanInput): Situation => {
-	const wants = getWants(input.demands);
-	const holdings = getHoldings(input);
-	const names = [...input.models, ...input.adapters].map(({name}) => name);
-	const getRank = (name: ModelName): number => wants.get(name)?.rank ?? Number.POSITIVE_INFINITY;
-	const byRank = names.toSorted((left, right) => getRank(left) - getRank(right));
-	const short = byRank.filter(name => (wants.get(name)?.slots ?? 0) * headroom > getSupply(name, holdings, wants));
-	const idle = names.filter(name => (wants.get(name)?.slots ?? 0) === 0);
+const createPlanContext = (input: PlanInput): PlanContext => {
+	const slotDemands = getSlotDemands(input.demands);
+	const engineStates = getEngineStates(input);
+	const allNames = [...input.models, ...input.adapters].map(({name}) => name);
+	const getRank = (name: ModelName): number => slotDemands.get(name)?.rank ?? Number.POSITIVE_INFINITY;
+	const byRank = allNames.toSorted((left, right) => getRank(left) - getRank(right));
+	const scarceNames = byRank.filter(name => (slotDemands.get(name)?.slots ?? 0) * slotHeadroom > getSuppliedSlots(name, engineStates, slotDemands));
+	const idle = allNames.filter(name => (slotDemands.get(name)?.slots ?? 0) === 0);
 	return {
-		input, wants, holdings, short,
-		pressure: getPressure(input.pressure, input.now, {short, idle}),
-		missing: byRank.filter(name => countHolders(holdings, name) === 0),
+		input, slotDemands, engineStates, scarceNames,
+		history: updatePlanHistory(input.history, input.now, {scarce: scarceNames, idle}),
+		missingNames: byRank.filter(name => countReplicas(engineStates, name) === 0),
 	};
 };
 
-/** Plans orders from demand, at most one for each engine; loads for the highest tier come first. */
+/** Plans orders from demand, at most one per engine: changes of role come first, then loads in order of tier, then unloads. */
 export const planOrders = (input: PlanInput): Plan => {
-	const situation = getSituation(input);
+	const context = createPlanContext(input);
 	const orders = new Map<UpstreamId, PlannedOrder>();
-	for (const planned of [...planRoles(situation), ...planLoads(situation), ...planUnloads(situation)]) {
+	for (const planned of [...planRoles(context), ...planLoads(context), ...planUnloads(context)]) {
 		if (!orders.has(planned.engine.id)) {
 			orders.set(planned.engine.id, planned);
 		}
 	}
 
-	const changedAt = new Map([...situation.pressure.changedAt, ...[...orders.keys()].map((id): [UpstreamId, Milliseconds] => [id, input.now])]);
-	return {orders: [...orders.values()], pressure: {...situation.pressure, changedAt}};
+	const changedAt = new Map([...context.history.changedAt, ...[...orders.keys()].map((id): [UpstreamId, Milliseconds] => [id, input.now])]);
+	return {orders: [...orders.values()], history: {...context.history, changedAt}};
 };
--- a/packages/placement/src/plan/types.ts
+++ b/packages/placement/src/plan/types.ts
@@ -4,41 +4,45 @@
 
 export type {Demand} from '@gentianlift/types';
 
-/** How long conditions have lasted, so that a plan doesn't follow each swing of demand. */
-export type Pressure = {
-	/** Since when a name has had too few slots. */
-	shortSince: ReadonlyMap<ModelName, Milliseconds>;
-	/** Since when nobody has asked for a name. */
+/**
+How long conditions have lasted, so that a plan doesn't follow short fluctuations of demand.
+
+A name is that of a model or an adapter.
+*/
+export type PlanHistory = {
+	/** Since when a name has had too few slots, on the monotonic clock. */
+	scarceSince: ReadonlyMap<ModelName, Milliseconds>;
+	/** Since when there has been no demand for a name. */
 	idleSince: ReadonlyMap<ModelName, Milliseconds>;
-	/** When an engine was last changed. */
+	/** When an engine last got an order. */
 	changedAt: ReadonlyMap<UpstreamId, Milliseconds>;
 };
 
 /** An order for one engine. */
 export type PlannedOrder = {engine: Engine; order: EngineOrder};
 
-/** Rate of the weight store and what is under way there. */
-export type Rate = {bytesPerSecond: number; bytesUnderWay: number};
+/** Transfer rate of the weight store, and the bytes that it is transferring. */
+export type WeightStoreRate = {bytesPerSecond: number; bytesUnderWay: number};
 
-/** Everything that a plan is made from. */
+/** Input of a plan. */
 export type PlanInput = {
 	/** Moment on the monotonic clock. */
 	now: Milliseconds;
 	engines: Engine[];
 	models: Model[];
 	adapters: Adapter[];
-	/** Reports that are fresh enough to plan with. */
+	/** Recent load reports. */
 	reports: ReadonlyMap<UpstreamId, LoadReport>;
 	demands: Demand[];
-	/** Orders whose effect no report shows yet. */
+	/** Orders whose effect no load report shows yet. */
 	pending: ReadonlyMap<UpstreamId, EngineOrder>;
-	/** Undefined when it isn't known; nothing is loaded then. */
-	rate: Rate | undefined;
-	pressure: Pressure;
+	/** While the rate is unknown, nothing is loaded. */
+	rate: WeightStoreRate | undefined;
+	history: PlanHistory;
 };
 
-/** A plan, and the pressure to hand to the next one. */
-export type Plan = {orders: PlannedOrder[]; pressure: Pressure};
+/** Planned orders, and the history to pass to the next plan. */
+export type Plan = {orders: PlannedOrder[]; history: PlanHistory};
 
-/** Pressure before the first plan. */
-export const noPressure: Pressure = {shortSince: new Map(), idleSince: new Map(), changedAt: new Map()};
+/** History before the first plan. */
+export const emptyPlanHistory: PlanHistory = {scarceSince: new Map(), idleSince: new Map(), changedAt: new Map()};
--- a/packages/placement/src/timing.ts
+++ b/packages/placement/src/timing.ts
@@ -1,30 +1,30 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Spans of time by which the lease and its orders are governed. */
+/** Durations, intervals and timeouts of the lease, the plans and the orders. */
 export type Timing = {
-	/** Duration of the lease at the service. */
+	/** Duration of the lease in the key-value service. */
 	lease: Milliseconds;
-	/** Between renewals. */
-	renewal: Milliseconds;
-	/** How much earlier than the service the holder takes its lease as ended; covers clocks that run at different rates. */
-	margin: Milliseconds;
-	/** Between looks of the other hosts at whether the lease is free. */
-	poll: Milliseconds;
-	/** Longest time that the client of an engine spends on one order. */
-	order: Milliseconds;
-	/** Longest time for which an order of an earlier holder is taken to be still under way. */
+	/** Interval between renewals of the lease. */
+	renewalInterval: Milliseconds;
+	/** Time by which the holder regards its lease as ended before the service does; covers clocks that run at different rates. */
+	validityMargin: Milliseconds;
+	/** Interval at which the other hosts check whether the lease is free. */
+	pollInterval: Milliseconds;
+	/** Timeout of sending an order to an engine. */
+	orderTimeout: Milliseconds;
+	/** Maximum time for which an order of an earlier holder may still be in flight. */
 	orderLifetime: Milliseconds;
-	/** Between two plans. */
-	plan: Milliseconds;
+	/** Interval between plans. */
+	planInterval: Milliseconds;
 };
 
-/** Spans of time in use. */
+/** Default timing. */
 export const defaultTiming: Timing = {
 	lease: 10_000,
-	renewal: 3000,
-	margin: 1000,
-	poll: 2000,
-	order: 3000,
+	renewalInterval: 3000,
+	validityMargin: 1000,
+	pollInterval: 2000,
+	orderTimeout: 3000,
 	orderLifetime: 8000,
-	plan: 1000,
+	planInterval: 1000,
 };
