--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -69,6 +69,7 @@
 
 type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimOwner; limits: ClaimLimits};
 
+/** Sends claims and settlements to the owner of their slot; if it gives no answer, this host stores them itself. */
 const createClaimSender = ({
 	self, peers, getOwner, metrics, owner, limits,
 }: SenderOptions) => {
--- a/packages/claims/src/commands/claim-owner.ts
+++ b/packages/claims/src/commands/claim-owner.ts
@@ -21,7 +21,7 @@
 
 /** Stores claims in their slots. Any host may write any slot; routing the claims of all hosts through the slot's owner lets it batch their writes. */
 export type ClaimOwner = {
-	/** Decides on a claim, and stores it if the request may start. Never rejects. */
+	/** Decides on a claim, and stores it if the request may start. */
 	claim: (from: HostId, request: ClaimRequest) => Promise<ClaimDecision>;
 	/** Stores a settlement. Never rejects; `retry` is set when the write to the service failed. */
 	settle: (from: HostId, settlement: ClaimSettlement) => Promise<SettlementOutcome>;
--- a/packages/claims/src/commands/claim-removal.ts
+++ b/packages/claims/src/commands/claim-removal.ts
@@ -36,6 +36,7 @@
 export const createClaimRemoval = ({
 	clock, metrics, self, keyValue, getOwner, limits = claimLimits,
 }: ClaimRemovalOptions): ClaimRemoval => {
+	/** Removes the slots of a bucket; returns their number, or undefined if a call failed. */
 	const removeBucket = async (bucket: number): Promise<number | undefined> => {
 		const list = await keyValue.list(getBucketPrefix(bucket));
 		if (list.kind === 'unavailable') {
@@ -54,7 +55,7 @@
 		return list.entries.length;
 	};
 
-	/** Closes the buckets that are old enough and returns the bucket floor. Closing precedes removal, so that a late claim for a removed bucket is refused. */
+	/** Closes the buckets that are old enough and returns the bucket floor, or undefined if a call failed. Closing precedes removal, so that a late claim for a removed bucket is refused. */
 	const closeOldBuckets = async (): Promise<(BucketFloor & {revision: number}) | undefined> => {
 		const floor = await readBucketFloor(keyValue);
 		if (floor.kind === 'unavailable') {
--- a/packages/claims/src/commands/settlement-queue.ts
+++ b/packages/claims/src/commands/settlement-queue.ts
@@ -16,9 +16,11 @@
 
 /** Settlements that are not stored yet. It holds only requests that were in flight at this host, so its size is bounded by their number. */
 export type SettlementQueue = {
+	/** Queues a settlement, unless one of the same request is queued already. */
 	add: (settlement: ClaimSettlement) => void;
 	/** Waits until all settlements are stored, at most for `limit`; returns the number left. */
 	drain: (limit: Milliseconds) => Promise<number>;
+	/** Returns the number of settlements that are not stored yet. */
 	getSize: () => number;
 };
 
@@ -26,7 +28,7 @@
 /** Retry delays in milliseconds, before jitter. */
 const retryDelay = {initial: 250, max: 8000};
 const maxExponent = 6;
-/** Interval in milliseconds. */
+/** Interval in milliseconds at which draining checks whether the queue is empty. */
 const drainPollInterval = 20;
 
 const getRetryDelay = (retries: number, random: Random): Milliseconds =>
--- a/packages/claims/src/queries/account-event.ts
+++ b/packages/claims/src/queries/account-event.ts
@@ -31,6 +31,7 @@
 	return previous === 'unknown' || attempt === 'unknown' ? 'unknown' : 'not-run';
 };
 
+/** Returns the run state of an account; attempts that were refused or unreachable did not run. */
 const getPreviousRunState = (account: Account): RunState => account.attempts.some(({outcome}) => outcome !== 'refused' && outcome !== 'unreachable')
 	? account.ran
 	: 'not-run';
--- a/packages/claims/src/slots/apply-claim.ts
+++ b/packages/claims/src/slots/apply-claim.ts
@@ -46,6 +46,7 @@
 	return timestamp > now + limits.maxTimestampLead ? {kind: 'invalid', reason: 'the time in the key is ahead'} : undefined;
 };
 
+/** Starts a request. Its claim replaces the previous one of the key, whose request did not run, and records that attempt as given up. */
 const createStartTransition = (request: ClaimRequest, {now, limits}: ClaimContext, previous?: Claim): ClaimTransition => {
 	const refusal = getTimestampRefusal(request.key, now, limits);
 	if (refusal !== undefined) {
@@ -58,6 +59,7 @@
 
 const givenUpDecision: ClaimDecision = {kind: 'unavailable', reason: 'the attempt was given up'};
 
+/** Decides on a repeated claim by the attempt that holds the key. */
 const getDecisionForSameAttempt = (claim: Claim): ClaimDecision => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
@@ -78,6 +80,7 @@
 	}
 };
 
+/** Decides on a claim of a key that another attempt holds. */
 const applyToOtherAttempt = (claim: Claim, request: ClaimRequest, context: ClaimContext): ClaimTransition => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
@@ -109,6 +112,7 @@
 	outcome: compact.kind === 'finished' ? {kind: 'finished', status: compact.status} : {kind: 'unknown', reason: 'details were dropped'},
 });
 
+/** Decides on a claim of a key whose earlier claim was compacted. */
 const applyToCompactClaim = (compact: CompactClaim, request: ClaimRequest): ClaimTransition => {
 	if (compact.digest !== request.digest) {
 		return {decision: {kind: 'mismatch'}};
--- a/packages/claims/src/slots/apply-settlement.ts
+++ b/packages/claims/src/slots/apply-settlement.ts
@@ -15,6 +15,7 @@
 
 const getBodyLength = (claim: Claim): number => claim.outcome.kind === 'finished' ? claim.outcome.body?.length ?? 0 : 0;
 
+/** Returns the length of the longest response body that the slot can still store. */
 const getRemainingBodyLength = (state: SlotState, limits: ClaimLimits): number => {
 	let used = 0;
 	for (const claim of state.claims.values()) {
