--- a/packages/membership/src/caller-example.test.ts
+++ b/packages/membership/src/caller-example.test.ts
@@ -8,13 +8,13 @@
 
 const example = await import(new URL('../../../docs/examples/caller.js', import.meta.url).href) as Example;
 const hosts: Host[] = [];
-let named: string[] = [];
+let listedAddresses: string[] = [];
 
 const startHost = async (): Promise<Host> => {
 	const host: Host = {
 		address: '', keys: [], refusals: [], server: createServer((request, response) => {
 			if (request.url?.startsWith('/v1/hosts')) {
-				response.end(JSON.stringify({hosts: named.map(address => ({address, weight: 10})), timeToLive: 60_000}));
+				response.end(JSON.stringify({hosts: listedAddresses.map(address => ({address, weight: 10})), timeToLive: 60_000}));
 				return;
 			}
 
@@ -42,32 +42,32 @@
 	}
 });
 
-test('the example caller outlives a host of its list', async () => {
+test('the example caller survives the loss of a host from its list', async () => {
 	const [first, second] = [await startHost(), await startHost()];
-	named = [first.address, second.address];
+	listedAddresses = [first.address, second.address];
 	const caller = example.createCaller({known: [first.address], key: 'k', zone: 'a'});
 	await caller.send('/v1/chat/completions', {body: {}});
 	stopHost(first);
-	named = [second.address];
+	listedAddresses = [second.address];
 	for (let sent = 0; sent < 5; sent++) {
-		// eslint-disable-next-line no-await-in-loop -- One request after another.
+		// eslint-disable-next-line no-await-in-loop -- Requests are sent one after another.
 		const answer = await caller.send('/v1/chat/completions', {body: {}});
 		expect(answer.status).toBe(200);
 	}
 });
 
-test('the example caller repeats a booking with the same key', async () => {
+test('the example caller retries a booking with the same idempotency key', async () => {
 	const host = await startHost();
-	named = [host.address];
+	listedAddresses = [host.address];
 	host.refusals.push({status: 503, error: {code: 'claims-unavailable', ran: 'not-run', retry: 'same-key'}}, {status: 503, error: {code: 'host-stopping', ran: 'not-run', retry: 'now'}});
 	const caller = example.createCaller({known: [host.address], key: 'k'});
 	await caller.send('/v1/services/orders/cut-orders', {body: {}, idempotencyKey: 'order-1'});
 	expect(host.keys).toEqual(['order-1', 'order-1', 'order-1']);
 });
 
-test('the example caller gives up where a retry is of no use', async () => {
+test('the example caller gives up on an error that a retry cannot resolve', async () => {
 	const host = await startHost();
-	named = [host.address];
+	listedAddresses = [host.address];
 	host.refusals.push({status: 404, error: {code: 'model-unknown', ran: 'not-run', retry: 'never'}});
 	const caller = example.createCaller({known: [host.address], key: 'k'});
 	await expect(caller.send('/v1/chat/completions', {body: {}})).rejects.toMatchObject({code: 'model-unknown', ran: 'not-run'});
--- a/packages/membership/src/fleet.ts
+++ b/packages/membership/src/fleet.ts
@@ -7,50 +7,50 @@
 import type {Transport} from './transport/transport.js';
 import {createMemoryNetwork, type MemoryNetwork} from './transport/memory-network.js';
 
-/** Hosts in one process over a network in memory, for tests. */
+/** Hosts in one process that communicate over an in-memory network, for tests. */
 export type Fleet = {
 	network: MemoryNetwork;
-	/** Starts a host, or another process of it. */
+	/** Starts a host, or a new process of a host that ran before. */
 	start: (host: HostId) => Promise<Membership>;
 	get: (host: HostId) => Membership;
 	getMetrics: (host: HostId) => Metrics;
-	/** Ends a process without a word. */
+	/** Terminates the process of a host without notifying the other hosts. */
 	kill: (host: HostId) => void;
-	/** Stops a process as a signal does: its timers and datagrams wait until it goes on. */
+	/** Pauses or resumes the process of a host, as SIGSTOP and SIGCONT do: timers and datagrams are queued while it is paused. */
 	setPaused: (host: HostId, isPaused: boolean) => void;
-	/** Hosts whose processes run. */
+	/** Returns the hosts whose process is running. */
 	getRunning: () => HostId[];
-	/** State of a host as another sees it; undefined if it doesn't know it. */
+	/** Returns the state of a host as seen by `viewer`; undefined if `viewer` doesn't know it. */
 	getState: (viewer: HostId, host: HostId) => HostState | undefined;
-	/** What the host list says. */
-	list: ListedHost[];
+	/** Entries that the host list returns. */
+	listedHosts: ListedHost[];
 };
 
 /** Options of a fleet. */
 export type FleetOptions = {
 	clock: ManualClock;
 	seed: number;
-	/** Keys of a host; all share one by default. */
+	/** Signing keys by host; a host without an entry uses a key that is common to all such hosts. */
 	keys?: Record<HostId, string[]>;
 	zones?: number;
 };
 
-type Running = {membership: Membership; metrics: Metrics; pauses: Pauses};
+type RunningHost = {membership: Membership; metrics: Metrics; pauseGate: PauseGate};
 
-/** Work of a process that waits while it is paused; when it goes on, timers run before datagrams are read. */
-type Pauses = {
+/** Queues the work of a process while it is paused; on resume, due timers run before received datagrams, as in an event loop. */
+type PauseGate = {
 	runTimer: (work: () => void) => void;
 	runDatagram: (work: () => void) => void;
 	setPaused: (isPaused: boolean) => void;
 };
 
-const createPauses = (): Pauses => {
+const createPauseGate = (): PauseGate => {
 	const timers: Array<() => void> = [];
 	const datagrams: Array<() => void> = [];
 	let isPaused = false;
-	const run = (waiting: Array<() => void>, work: () => void): void => {
+	const run = (queue: Array<() => void>, work: () => void): void => {
 		if (isPaused) {
-			waiting.push(work);
+			queue.push(work);
 		} else {
 			work();
 		}
@@ -65,31 +65,31 @@
 		},
 		setPaused(next) {
 			isPaused = next;
-			const due = isPaused ? [] : [...timers.splice(0), ...datagrams.splice(0)];
-			for (const work of due) {
+			const pendingWork = isPaused ? [] : [...timers.splice(0), ...datagrams.splice(0)];
+			for (const work of pendingWork) {
 				work();
 			}
 		},
 	};
 };
 
-const createHostClock = (clock: Clock, pauses: Pauses): Clock => {
+const createHostClock = (clock: Clock, pauseGate: PauseGate): Clock => {
 	const {after, every} = clock;
-	const guard = (run: () => void) => () => {
-		pauses.runTimer(run);
+	const deferWhilePaused = (run: () => void) => () => {
+		pauseGate.runTimer(run);
 	};
 
 	return {
 		...clock,
-		after: (delay, run) => after(delay, guard(run)),
-		every: (interval, run) => every(interval, guard(run)),
+		after: (delay, run) => after(delay, deferWhilePaused(run)),
+		every: (interval, run) => every(interval, deferWhilePaused(run)),
 	};
 };
 
-const createHostTransport = (transport: Transport, pauses: Pauses): Transport => ({
+const createHostTransport = (transport: Transport, pauseGate: PauseGate): Transport => ({
 	...transport,
 	start: async onDatagram => transport.start(bytes => {
-		pauses.runDatagram(() => {
+		pauseGate.runDatagram(() => {
 			onDatagram(bytes);
 		});
 	}),
@@ -98,22 +98,22 @@
 const defaultZones = 3;
 const firstIncarnation: Milliseconds = 1_000_000;
 
-/** Gets the address of a host in the fleet's network. */
+/** Returns the address of a host in the network of the fleet. */
 export const getGossipAddress = (host: HostId): string => `${host}:7000`;
 
 /** Creates a fleet without hosts; its seeds are `h0` and `h1`. */
 export const createFleet = ({clock, seed, keys = {}, zones = defaultZones}: FleetOptions): Fleet => {
 	const random = createRandom(seed);
 	const network = createMemoryNetwork(clock, random);
-	const running = new Map<HostId, Running>();
-	const list: ListedHost[] = [];
-	const hostList: HostList = {readHosts: async () => list};
+	const running = new Map<HostId, RunningHost>();
+	const listedHosts: ListedHost[] = [];
+	const hostList: HostList = {readHosts: async () => listedHosts};
 	let incarnation = firstIncarnation;
 
-	const find = (host: HostId): Running => {
+	const getRunningHost = (host: HostId): RunningHost => {
 		const known = running.get(host);
 		if (known === undefined) {
-			throw new Error(`${host} doesn't run`);
+			throw new Error(`${host} is not running`);
 		}
 
 		return known;
@@ -121,15 +121,15 @@
 
 	return {
 		network,
-		list,
+		listedHosts,
 		async start(host) {
 			incarnation++;
 			const metrics = createMetrics();
 			network.setMuted(getGossipAddress(host), false);
-			const pauses = createPauses();
-			const transport = createHostTransport(network.createTransport(getGossipAddress(host)), pauses);
+			const pauseGate = createPauseGate();
+			const transport = createHostTransport(network.createTransport(getGossipAddress(host)), pauseGate);
 			const membership = createMembership({
-				clock: createHostClock(clock, pauses),
+				clock: createHostClock(clock, pauseGate),
 				random: createRandom(seed + incarnation),
 				metrics,
 				self: {
@@ -141,21 +141,21 @@
 				hostList,
 			});
 			await membership.start();
-			running.set(host, {membership, metrics, pauses});
+			running.set(host, {membership, metrics, pauseGate});
 			return membership;
 		},
-		get: host => find(host).membership,
-		getMetrics: host => find(host).metrics,
+		get: host => getRunningHost(host).membership,
+		getMetrics: host => getRunningHost(host).metrics,
 		kill(host) {
-			const {membership} = find(host);
+			const {membership} = getRunningHost(host);
 			network.setMuted(getGossipAddress(host), true);
 			membership.stop();
 			running.delete(host);
 		},
 		setPaused(host, isPaused) {
-			find(host).pauses.setPaused(isPaused);
+			getRunningHost(host).pauseGate.setPaused(isPaused);
 		},
 		getRunning: () => [...running.keys()],
-		getState: (viewer, host) => find(viewer).membership.getMembers().find(member => member.host === host)?.state,
+		getState: (viewer, host) => getRunningHost(viewer).membership.getMembers().find(member => member.host === host)?.state,
 	};
 };
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,7 +1,7 @@
 export {
 	createMembership, type Membership, type MembershipOptions,
 } from './membership.js';
-export type {NoteContent} from './protocol/note-board.js';
+export type {NoteContent} from './protocol/announcement-channel.js';
 export type {MemberChange} from './protocol/view.js';
 export {getEligibleHosts, getOwner, getOwners} from './ownership.js';
 export {getHostAnswer} from './host-answer.js';
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -4,9 +4,9 @@
 import {createFleet, getGossipAddress, type Fleet} from './fleet.js';
 import {getSuspicionTimeout} from './protocol/timing.js';
 
-const quiet = 20_000;
+const convergenceTime = 20_000;
 
-const createStarted = async (count: number, seed = 1): Promise<{clock: ManualClock; fleet: Fleet}> => {
+const createRunningFleet = async (count: number, seed = 1): Promise<{clock: ManualClock; fleet: Fleet}> => {
 	const clock = createManualClock(1_000_000);
 	const fleet = createFleet({clock, seed});
 	for (let index = 0; index < count; index++) {
@@ -14,141 +14,141 @@
 		await fleet.start(`h${index}`);
 	}
 
-	await clock.advance(quiet);
+	await clock.advance(convergenceTime);
 	return {clock, fleet};
 };
 
-const getViews = (fleet: Fleet, host: string): Array<HostState | undefined> =>
+const getObservedStates = (fleet: Fleet, host: string): Array<HostState | undefined> =>
 	fleet.getRunning().filter(viewer => viewer !== host).map(viewer => fleet.getState(viewer, host));
 
-const expectAll = (fleet: Fleet, state: HostState): void => {
+const expectAllInState = (fleet: Fleet, state: HostState): void => {
 	for (const host of fleet.getRunning()) {
-		expect(new Set(getViews(fleet, host)), host).toEqual(new Set([state]));
+		expect(new Set(getObservedStates(fleet, host)), host).toEqual(new Set([state]));
 	}
 };
 
 test('all hosts find each other', async () => {
-	const {fleet} = await createStarted(7);
-	expectAll(fleet, 'alive');
+	const {fleet} = await createRunningFleet(7);
+	expectAllInState(fleet, 'alive');
 });
 
-test('a killed host is gone everywhere within 10 s', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('a killed host is seen as gone by all hosts within 10 s', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	fleet.kill('h3');
 	await clock.advance(10_000);
-	expect(new Set(getViews(fleet, 'h3'))).toEqual(new Set(['gone']));
-	expectAll(fleet, 'alive');
+	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
+	expectAllInState(fleet, 'alive');
 });
 
-test('a host that stops is gone within 2 s', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('a host that stops is seen as gone within 2 s', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	fleet.get('h3').stop();
 	await clock.advance(2000);
-	expect(new Set(getViews(fleet, 'h3'))).toEqual(new Set(['gone']));
+	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
 });
 
-test('a replaced process is not taken for the old one', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('a new process of a host is not mistaken for the old one', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	const before = fleet.get('h0').getMembers().find(({host}) => host === 'h3');
 	fleet.kill('h3');
 	await fleet.start('h3');
 	await clock.advance(5000);
-	expectAll(fleet, 'alive');
+	expectAllInState(fleet, 'alive');
 	const after = fleet.get('h0').getMembers().find(({host}) => host === 'h3');
 	expect(after?.incarnation).toBeGreaterThan(before?.incarnation ?? 0);
 });
 
-test('draining is told and taken back', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('draining and its end reach all hosts', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	fleet.get('h3').setDraining(true);
 	await clock.advance(2000);
-	expect(new Set(getViews(fleet, 'h3'))).toEqual(new Set(['draining']));
+	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['draining']));
 	fleet.get('h3').setDraining(false);
 	await clock.advance(2000);
-	expectAll(fleet, 'alive');
+	expectAllInState(fleet, 'alive');
 });
 
-test('a host that hears nothing is gone and condemns nobody soon', async () => {
-	const {clock, fleet} = await createStarted(7);
-	fleet.network.setCut((_from, to) => to === getGossipAddress('h3'));
+test('a host that receives nothing is declared gone, and itself declares no host gone within 10 s', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
+	fleet.network.setPartition((_from, to) => to === getGossipAddress('h3'));
 	await clock.advance(10_000);
-	expect(new Set(getViews(fleet, 'h3'))).toEqual(new Set(['gone']));
+	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
 	expect(fleet.get('h3').getMembers().filter(({state}) => state === 'gone')).toEqual([]);
-	fleet.network.setCut(() => false);
+	fleet.network.setPartition(() => false);
 	await clock.advance(15_000);
-	expectAll(fleet, 'alive');
+	expectAllInState(fleet, 'alive');
 });
 
-test('one lost direction between two hosts harms nobody', async () => {
-	const {clock, fleet} = await createStarted(7);
-	const seen = new Set<HostState>();
+test('a one-way loss between two hosts changes no state', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
+	const observedStates = new Set<HostState>();
 	for (const host of fleet.getRunning()) {
 		fleet.get(host).onChange(({after}) => {
-			seen.add(after.state);
+			observedStates.add(after.state);
 		});
 	}
 
-	fleet.network.setCut((from, to) => from === getGossipAddress('h2') && to === getGossipAddress('h5'));
+	fleet.network.setPartition((from, to) => from === getGossipAddress('h2') && to === getGossipAddress('h5'));
 	await clock.advance(60_000);
-	expect([...seen]).toEqual([]);
+	expect([...observedStates]).toEqual([]);
 });
 
-test('a tenth of all datagrams lost leaves nobody gone', async () => {
-	const {clock, fleet} = await createStarted(7);
-	const seen = new Set<HostState>();
+test('with a tenth of all datagrams lost, no host is declared gone', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
+	const observedStates = new Set<HostState>();
 	for (const host of fleet.getRunning()) {
 		fleet.get(host).onChange(({after}) => {
-			seen.add(after.state);
+			observedStates.add(after.state);
 		});
 	}
 
-	fleet.network.setLoss(0.1);
+	fleet.network.setLossRate(0.1);
 	await clock.advance(120_000);
-	expect(seen.has('gone')).toBe(false);
+	expect(observedStates.has('gone')).toBe(false);
 });
 
-test('halves that lost each other heal', async () => {
-	const {clock, fleet} = await createStarted(8);
-	const isLow = (address: string): boolean => Number(address.slice(1, 2)) < 4;
-	fleet.network.setCut((from, to) => isLow(from) !== isLow(to));
+test('the halves of a partitioned fleet merge again', async () => {
+	const {clock, fleet} = await createRunningFleet(8);
+	const isInFirstHalf = (address: string): boolean => Number(address.slice(1, 2)) < 4;
+	fleet.network.setPartition((from, to) => isInFirstHalf(from) !== isInFirstHalf(to));
 	await clock.advance(600_000);
 	expect(fleet.getState('h0', 'h7')).toBe('gone');
-	fleet.network.setCut(() => false);
+	fleet.network.setPartition(() => false);
 	await clock.advance(30_000);
-	expectAll(fleet, 'alive');
+	expectAllInState(fleet, 'alive');
 });
 
-test('a zone lost at once is gone and the rest stands', async () => {
-	const {clock, fleet} = await createStarted(9);
+test('the hosts of a lost zone are gone, and the others stay alive', async () => {
+	const {clock, fleet} = await createRunningFleet(9);
 	for (const host of ['h2', 'h5', 'h8']) {
 		fleet.kill(host);
 	}
 
 	await clock.advance(12_000);
-	expect(new Set(getViews(fleet, 'h5'))).toEqual(new Set(['gone']));
-	expectAll(fleet, 'alive');
+	expect(new Set(getObservedStates(fleet, 'h5'))).toEqual(new Set(['gone']));
+	expectAllInState(fleet, 'alive');
 });
 
-test('a host paused for 12 s condemns nobody and comes back', async () => {
-	const {clock, fleet} = await createStarted(7);
-	const seen = new Set<HostState>();
+test('a host paused for 12 s declares no host gone, and rejoins', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
+	const observedStates = new Set<HostState>();
 	fleet.get('h3').onChange(({after}) => {
-		seen.add(after.state);
+		observedStates.add(after.state);
 	});
 	fleet.setPaused('h3', true);
 	await clock.advance(12_000);
-	expect(new Set(getViews(fleet, 'h3'))).toEqual(new Set(['gone']));
+	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
 	fleet.setPaused('h3', false);
 	await clock.advance(10_000);
-	expect(seen.has('gone')).toBe(false);
-	expectAll(fleet, 'alive');
+	expect(observedStates.has('gone')).toBe(false);
+	expectAllInState(fleet, 'alive');
 });
 
-test('a host whose loop is late blames nobody for answers it has not read', async () => {
-	const {clock, fleet} = await createStarted(7);
-	const seen = new Set<HostState>();
+test('a host with a late event loop suspects no host whose acknowledgement it has not read yet', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
+	const observedStates = new Set<HostState>();
 	fleet.get('h3').onChange(({after}) => {
-		seen.add(after.state);
+		observedStates.add(after.state);
 	});
 	for (let round = 0; round < 40; round++) {
 		fleet.setPaused('h3', true);
@@ -159,19 +159,19 @@
 		await clock.advance(150);
 	}
 
-	expect([...seen]).toEqual([]);
+	expect([...observedStates]).toEqual([]);
 });
 
-test('a version reaches all hosts within 2 s', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('a configuration version reaches all hosts within 2 s', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	fleet.get('h4').setConfigurationVersion(9);
 	await clock.advance(2000);
 	const versions = fleet.getRunning().map(viewer => fleet.get(viewer).getMembers().find(({host}) => host === 'h4')?.configurationVersion);
 	expect(new Set(versions)).toEqual(new Set([9]));
 });
 
-test('a note reaches all hosts, late ones included, and ends', async () => {
-	const {clock, fleet} = await createStarted(7);
+test('an announcement reaches all hosts, including one that joins later, and expires', async () => {
+	const {clock, fleet} = await createRunningFleet(7);
 	fleet.get('h4').publishNote({
 		topic: 'upstream-failed', key: 'e1', value: 'reset', duration: 20_000,
 	});
@@ -186,18 +186,18 @@
 	expect(fleet.get('h0').getNotes('upstream-failed')).toEqual([]);
 });
 
-test('a stranger, a replay and garbage are counted and dropped', async () => {
-	const {clock, fleet} = await createStarted(3);
-	const sent: Uint8Array[] = [];
+test('replayed, corrupted and too short datagrams are counted and dropped', async () => {
+	const {clock, fleet} = await createRunningFleet(3);
+	const datagrams: Uint8Array[] = [];
 	fleet.network.onSend((_from, to, bytes) => {
 		if (to === getGossipAddress('h0')) {
-			sent.push(bytes);
+			datagrams.push(bytes);
 		}
 	});
 	await clock.advance(2000);
-	const [replay = new Uint8Array(0)] = sent;
-	const garbage = replay.map((byte, index) => index === 40 ? byte + 1 : byte);
-	for (const bytes of [replay, garbage, new Uint8Array(3)]) {
+	const [replayed = new Uint8Array(0)] = datagrams;
+	const corrupted = replayed.map((byte, index) => index === 40 ? byte + 1 : byte);
+	for (const bytes of [replayed, corrupted, new Uint8Array(3)]) {
 		fleet.network.inject(getGossipAddress('h0'), bytes);
 	}
 
@@ -206,7 +206,7 @@
 	expect(getDropped('signature')).toBe(2);
 });
 
-test('keys rotate without a break', async () => {
+test('hosts with rotated keys accept each other, and not a host with another key', async () => {
 	const clock = createManualClock(1_000_000);
 	const fleet = createFleet({clock, seed: 1, keys: {h0: ['old', 'new'], h1: ['new', 'old'], h2: ['stranger']}});
 	for (const host of ['h0', 'h1', 'h2']) {
@@ -214,16 +214,16 @@
 		await fleet.start(host);
 	}
 
-	await clock.advance(quiet);
+	await clock.advance(convergenceTime);
 	expect(fleet.getState('h0', 'h1')).toBe('alive');
 	expect(fleet.getState('h1', 'h0')).toBe('alive');
 	expect(fleet.getState('h0', 'h2')).toBeUndefined();
 });
 
-test('a host that the list has as leaving is draining', async () => {
-	const {clock, fleet} = await createStarted(3);
+test('a host that the host list has as leaving is draining until its next process', async () => {
+	const {clock, fleet} = await createRunningFleet(3);
 	await clock.advance(60_000);
-	fleet.list.push({
+	fleet.listedHosts.push({
 		id: 'h2', kind: 'entry', address: 'h2:80', zone: 'z2', state: 'leaving',
 	});
 	await clock.advance(11_000);
@@ -234,13 +234,13 @@
 	expect(fleet.getState('h0', 'h2')).toBe('alive');
 });
 
-test('the suspicion time grows slowly with the fleet', () => {
+test('the suspicion timeout grows slowly with the fleet', () => {
 	expect(getSuspicionTimeout(480) / getSuspicionTimeout(7)).toBeLessThan(3);
 });
 
-test('a datagram is bounded and traffic stays flat', async () => {
-	const getTraffic = async (count: number): Promise<{largest: number; bytesPerSecond: number}> => {
-		const {clock, fleet} = await createStarted(count);
+test('datagram sizes are bounded, and the traffic of a host hardly grows with the fleet', async () => {
+	const measureTraffic = async (count: number): Promise<{largest: number; bytesPerSecond: number}> => {
+		const {clock, fleet} = await createRunningFleet(count);
 		let [largest, bytes] = [0, 0];
 		await clock.advance(30_000);
 		fleet.network.onSend((_from, _to, datagram) => {
@@ -251,7 +251,7 @@
 		return {largest, bytesPerSecond: bytes / count / 10};
 	};
 
-	const [small, large] = [await getTraffic(7), await getTraffic(40)];
+	const [small, large] = [await measureTraffic(7), await measureTraffic(40)];
 	expect(Math.max(small.largest, large.largest)).toBeLessThan(1100);
 	expect(large.bytesPerSecond).toBeLessThan(3000);
 	expect(large.bytesPerSecond / small.bytesPerSecond).toBeLessThan(1.5);
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -3,153 +3,160 @@
 import type {
 	HostList, Member, Note, NoteTopic, Settings,
 } from '@gentianlift/types';
-import {createNoteBoard, type NoteBoard, type NoteContent} from './protocol/note-board.js';
-import {createOutbox} from './protocol/outbox.js';
-import {createPeriod, type Period} from './protocol/period.js';
+import {createAnnouncementChannel, type AnnouncementChannel, type NoteContent} from './protocol/announcement-channel.js';
+import {createPacketSender} from './protocol/packet-sender.js';
+import {createProtocolPeriod, type ProtocolPeriod} from './protocol/protocol-period.js';
 import {createProber} from './protocol/prober.js';
-import {readList} from './protocol/read-list.js';
+import {readHostList} from './protocol/read-host-list.js';
 import {createReceiver, type Receiver} from './protocol/receiver.js';
-import {createSearch, type Search} from './protocol/search.js';
-import {createSpreader, type Spreader} from './protocol/spreader.js';
+import {createHostDiscovery, type HostDiscovery} from './protocol/host-discovery.js';
+import {createDisseminator, type Disseminator} from './protocol/disseminator.js';
 import {
-	gossipInterval, healInterval, joinInterval, listInterval, probePeriod,
+	gossipInterval, partitionHealInterval, joinInterval, hostListInterval, probeInterval,
 } from './protocol/timing.js';
 import {createView, type MemberChange, type View} from './protocol/view.js';
 import type {Transport} from './transport/transport.js';
-import {createSeal} from './wire/seal.js';
+import {createDatagramSigner} from './wire/datagram-signer.js';
 
-/** The hosts of the fleet as this one sees them. */
+/** Membership of the fleet as this host sees it. */
 export type Membership = {
-	/** Starts to receive and looks for the other hosts; resolves once it listens. */
+	/** Starts receiving and joining the fleet; resolves once the transport listens. */
 	start: () => Promise<void>;
-	/** Tells the others that this host is gone, and stops. */
+	/** Notifies the other hosts that this host is gone, and stops. */
 	stop: () => void;
-	/** All known hosts, this one included. */
+	/** Returns all known hosts, this one included. */
 	getMembers: () => Member[];
-	/** Calls back for each member that is new or changes in more than its load. */
+	/** Calls the listener for each member that is new or that changes in anything other than its load. */
 	onChange: (listener: (change: MemberChange) => void) => Cancel;
 	setDraining: (isDraining: boolean) => void;
 	setConfigurationVersion: (version: number) => void;
-	/** How full this host is, from 0 to 1. */
+	/** Sets how loaded this host is, from 0 to 1. */
 	setLoad: (load: number) => void;
-	/** Tells all hosts a fact; false when it is too long. */
+	/** Publishes an announcement to all hosts; returns false when it is too long. */
 	publishNote: (content: NoteContent) => boolean;
-	/** Calls back for each new note, those of this host included. */
-	onNote: (listener: (note: Note) => void) => Cancel;
+	/** Calls the listener for each new announcement, those of this host included. */
+	onNote: (listener: (announcement: Note) => void) => Cancel;
 	getNotes: (topic: NoteTopic) => Note[];
 };
 
-/** What a membership needs. */
+/** Dependencies and options of the membership. */
 export type MembershipOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	self: Pick<Member, 'host' | 'incarnation' | 'zone' | 'callerAddress' | 'peerAddress' | 'gossipAddress'>;
 	seeds: Settings['seeds'];
-	/** Keys that authenticate messages: the first signs, any is accepted. */
+	/** Keys that authenticate datagrams: the first signs, and signatures of any are accepted. */
 	keys: string[];
 	transport: Transport;
 	hostList?: HostList;
 };
 
-/** Smallest change of the load that is told. */
-const loadStep = 0.02;
+/** Smallest change of the load that is disseminated. */
+const minLoadChange = 0.02;
 
-type Parts = MembershipOptions & {view: View; period: Period; spreader: Spreader; search: Search; board: NoteBoard; receiver: Receiver};
+type Components = MembershipOptions & {
+	view: View;
+	protocolPeriod: ProtocolPeriod;
+	disseminator: Disseminator;
+	hostDiscovery: HostDiscovery;
+	announcementChannel: AnnouncementChannel;
+	receiver: Receiver;
+};
 
-const createParts = (options: MembershipOptions): Parts => {
+const createComponents = (options: MembershipOptions): Components => {
 	const {clock, metrics, self, transport, random, seeds} = options;
 	const view = createView(clock, {
-		...self, revision: 0, standing: 'alive', isDraining: false, beat: 0, configurationVersion: 0, load: 0,
+		...self, revision: 0, liveness: 'alive', isDraining: false, attributeRevision: 0, configurationVersion: 0, load: 0,
 	});
-	const seal = createSeal(options.keys);
-	const outbox = createOutbox({
-		view, seal, transport, metrics,
+	const signer = createDatagramSigner(options.keys);
+	const packetSender = createPacketSender({
+		view, signer, transport, metrics,
 	});
-	const common = {
-		clock, random, view, outbox,
+	const shared = {
+		clock, random, view, packetSender,
 	};
-	const prober = createProber(common);
-	const spreader = createSpreader(common);
-	const board = createNoteBoard(view, self.host, self.incarnation);
+	const prober = createProber(shared);
+	const disseminator = createDisseminator(shared);
+	const announcementChannel = createAnnouncementChannel(view, self.host, self.incarnation);
 	const receiver = createReceiver({
-		view, seal, outbox, prober, metrics, board, spreader,
+		view, signer, packetSender, prober, metrics, announcementChannel, disseminator,
 	});
 	return {
 		...options,
 		view,
-		spreader,
-		board,
+		disseminator,
+		announcementChannel,
 		receiver,
-		period: createPeriod({
+		protocolPeriod: createProtocolPeriod({
 			clock, metrics, view, prober,
 		}),
-		search: createSearch({
-			random, view, outbox, spreader, seeds,
+		hostDiscovery: createHostDiscovery({
+			random, view, packetSender, disseminator, seeds,
 		}),
 	};
 };
 
-const startTimers = ({clock, period, spreader, search, hostList, view}: Parts): Cancel[] => {
+const startTimers = ({clock, protocolPeriod, disseminator, hostDiscovery, hostList, view}: Components): Cancel[] => {
 	const {every} = clock;
-	const read = (): void => {
+	const readHosts = (): void => {
 		if (hostList !== undefined) {
-			void readList(hostList, view, clock);
+			void readHostList(hostList, view, clock);
 		}
 	};
 
-	period.reset();
-	search.joinFleet();
-	read();
+	protocolPeriod.reset();
+	hostDiscovery.joinFleet();
+	readHosts();
 	return [
-		every(probePeriod, period.run),
-		every(gossipInterval, spreader.sendUrgent),
-		every(joinInterval, search.joinFleet),
-		every(healInterval, search.heal),
-		every(listInterval, read),
+		every(probeInterval, protocolPeriod.run),
+		every(gossipInterval, disseminator.sendUrgentGossip),
+		every(joinInterval, hostDiscovery.joinFleet),
+		every(partitionHealInterval, hostDiscovery.healPartition),
+		every(hostListInterval, readHosts),
 	];
 };
 
 /** Creates the membership of this host. */
 export const createMembership = (options: MembershipOptions): Membership => {
-	const parts = createParts(options);
-	const {view, spreader, board, transport, receiver} = parts;
+	const components = createComponents(options);
+	const {view, disseminator, announcementChannel, transport, receiver} = components;
 	let timers: Cancel[] = [];
 	return {
 		async start() {
 			await transport.start(receiver.receive);
-			timers = startTimers(parts);
+			timers = startTimers(components);
 		},
 		stop() {
 			for (const cancel of timers.splice(0)) {
 				cancel();
 			}
 
-			view.setSelf({standing: 'gone'}, true);
-			spreader.sendLast();
+			view.updateSelf({liveness: 'gone'}, true);
+			disseminator.sendFinalGossip();
 			transport.stop();
 		},
 		getMembers: view.getMembers,
 		onChange: view.onChange,
 		setDraining(isDraining) {
-			view.setSelf({isDraining}, true);
+			view.updateSelf({isDraining}, true);
 		},
 		setConfigurationVersion(configurationVersion) {
-			view.setSelf({configurationVersion}, false);
-			spreader.sendUrgent();
+			view.updateSelf({configurationVersion}, false);
+			disseminator.sendUrgentGossip();
 		},
 		setLoad(load) {
-			const bounded = Math.min(1, Math.max(0, load));
-			if (Math.abs(bounded - view.getSelf().load) >= loadStep) {
-				view.setSelf({load: bounded}, false);
+			const clampedLoad = Math.min(1, Math.max(0, load));
+			if (Math.abs(clampedLoad - view.getSelf().load) >= minLoadChange) {
+				view.updateSelf({load: clampedLoad}, false);
 			}
 		},
 		publishNote(content) {
-			const isPublished = board.publish(content);
-			spreader.sendUrgent();
+			const isPublished = announcementChannel.publish(content);
+			disseminator.sendUrgentGossip();
 			return isPublished;
 		},
-		onNote: board.onNote,
-		getNotes: board.getByTopic,
+		onNote: announcementChannel.onAnnouncement,
+		getNotes: announcementChannel.getByTopic,
 	};
 };
--- a/packages/membership/src/ownership.ts
+++ b/packages/membership/src/ownership.ts
@@ -3,9 +3,9 @@
 
 const {h32} = await createXxhash();
 
-type Weighted = {host: HostId; weight: number};
+type WeightedHost = {host: HostId; weight: number};
 
-const getOrder = (first: Weighted, second: Weighted): number => {
+const compareWeights = (first: WeightedHost, second: WeightedHost): number => {
 	if (first.weight !== second.weight) {
 		return second.weight - first.weight;
 	}
@@ -13,26 +13,26 @@
 	return first.host < second.host ? -1 : 1;
 };
 
-/** Gets the hosts that may own keys: draining and gone ones don't, and suspected ones do until they are gone. */
+/** Returns the hosts that may own keys. Draining and gone hosts may not; suspected hosts keep their keys until they are gone. */
 export const getEligibleHosts = (members: Member[]): HostId[] => {
 	const eligible = members.filter(({state}) => state === 'alive' || state === 'suspected');
 	return eligible.map(({host}) => host);
 };
 
-/** Gets the owner of a key and those next in line by rendezvous hashing: a host that comes or goes moves only its own keys. */
+/** Returns the owner of a key and its successors, `count` hosts in all, by rendezvous hashing: a host that joins or leaves moves only its own keys. */
 export const getOwners = (key: string, hosts: HostId[], count: number): HostId[] => {
 	const seed = h32(key);
 	const weighted = hosts.map(host => ({host, weight: h32(host, seed)}));
-	return weighted.toSorted(getOrder).slice(0, count).map(({host}) => host);
+	return weighted.toSorted(compareWeights).slice(0, count).map(({host}) => host);
 };
 
-/** Gets the owner of a key; undefined without hosts. */
+/** Returns the owner of a key; undefined if there are no hosts. */
 export const getOwner = (key: string, hosts: HostId[]): HostId | undefined => {
 	const seed = h32(key);
-	let best: Weighted | undefined;
+	let best: WeightedHost | undefined;
 	for (const host of hosts) {
-		const next = {host, weight: h32(host, seed)};
-		best = best === undefined || getOrder(next, best) < 0 ? next : best;
+		const candidate = {host, weight: h32(host, seed)};
+		best = best === undefined || compareWeights(candidate, best) < 0 ? candidate : best;
 	}
 
 	return best?.host;
--- a/packages/membership/src/protocol/listed-hosts.ts
+++ b/packages/membership/src/protocol/listed-hosts.ts
@@ -2,27 +2,27 @@
 	HostId, Incarnation, ListedHost, Milliseconds,
 } from '@gentianlift/types';
 
-/** What the lagging host list says of the hosts. */
+/** State of the hosts according to the platform's host list, which lags behind the hosts themselves. */
 export type ListedHosts = {
-	/** Takes in a list; `getIncarnation` gives the process that is known of a host. */
+	/** Applies a list; `getIncarnation` returns the known incarnation of a host. */
 	update: (list: ListedHost[], now: Milliseconds, getIncarnation: (host: HostId) => Incarnation | undefined) => void;
-	/** Whether the list has that process of a host as leaving. */
+	/** Returns whether the list has that incarnation of a host as leaving. */
 	isLeaving: (host: HostId, incarnation: Incarnation) => boolean;
-	/** Whether the list was read and doesn't have the host. */
+	/** Returns whether the host is absent from the list. Always false while the list hasn't been read or this host is absent from it too. */
 	isMissing: (host: HostId) => boolean;
 };
 
-/** Age of a process up to which the list may still speak of the one before it. */
-const longestLag: Milliseconds = 60_000;
+/** Age of a process up to which the list may still describe the process before it. */
+const maxListLag: Milliseconds = 60_000;
 
-/** Creates an empty view of the list for a host. A list that doesn't have the host itself is no evidence against others. */
+/** Creates the listed hosts before any list was read. A list without `self` is incomplete, and so is no evidence that other hosts are missing. */
 export const createListedHosts = (self: HostId): ListedHosts => {
 	const leaving = new Map<HostId, Incarnation>();
 	let listed: Set<HostId> | undefined;
 
-	const noteLeaving = (host: HostId, now: Milliseconds, incarnation: Incarnation | undefined): void => {
-		const isYoung = incarnation !== undefined && now - incarnation < longestLag;
-		if (incarnation !== undefined && !isYoung && !leaving.has(host)) {
+	const markLeaving = (host: HostId, now: Milliseconds, incarnation: Incarnation | undefined): void => {
+		const isRecent = incarnation !== undefined && now - incarnation < maxListLag;
+		if (incarnation !== undefined && !isRecent && !leaving.has(host)) {
 			leaving.set(host, incarnation);
 		}
 	};
@@ -33,7 +33,7 @@
 			listed = new Set(entryHosts.map(({id}) => id));
 			for (const {id, state} of entryHosts) {
 				if (state === 'leaving') {
-					noteLeaving(id, now, getIncarnation(id));
+					markLeaving(id, now, getIncarnation(id));
 				} else {
 					leaving.delete(id);
 				}
--- a/packages/membership/src/protocol/probes.ts
+++ b/packages/membership/src/protocol/probe-order.ts
@@ -1,23 +1,23 @@
 import type {Random} from '@gentianlift/clock';
 import type {HostId} from '@gentianlift/types';
 
-/** Which host to probe next, in rounds of random order, so that each is probed once a round. */
+/** Order in which hosts are probed: rounds in random order, in each of which every host is probed once. */
 export type ProbeOrder = {getNext: (present: HostId[]) => HostId | undefined};
 
-/** Puts items in random order. */
+/** Returns the items in random order. */
 export const shuffle = <Item>(items: Item[], random: Random): Item[] => {
 	const keyed = items.map(item => ({item, key: random.next()}));
 	return keyed.toSorted((first, second) => first.key - second.key).map(({item}) => item);
 };
 
-/** Creates an order that starts at random; a new host gets a random place in the round under way. */
+/** Creates a probe order. A new host is inserted at a random position of the current round. */
 export const createProbeOrder = (random: Random): ProbeOrder => {
 	let round: HostId[] = [];
 	let placed = new Set<HostId>();
 	return {
 		getNext(present) {
-			const left = new Set(present);
-			round = round.filter(host => left.has(host));
+			const remaining = new Set(present);
+			round = round.filter(host => remaining.has(host));
 			if (round.length === 0) {
 				round = shuffle(present, random);
 				placed = new Set(present);
--- a/packages/membership/src/protocol/prober.ts
+++ b/packages/membership/src/protocol/prober.ts
@@ -1,124 +1,124 @@
 import type {Cancel, Clock, Random} from '@gentianlift/clock';
 import type {HostId, Milliseconds} from '@gentianlift/types';
-import type {Outbox, Target} from './outbox.js';
-import {createProbeOrder, shuffle} from './probes.js';
+import type {PacketSender, Target} from './packet-sender.js';
+import {createProbeOrder, shuffle} from './probe-order.js';
 import {
-	directTimeout, indirectProbes, isolationFactor, isolationLimit, probePeriod,
+	directProbeTimeout, indirectProbeCount, isolationMultiplier, isolationTimeout, probeInterval,
 } from './timing.js';
 import type {View} from './view.js';
 
-/** Probes hosts, one a period, directly and then through others. */
+/** Probes one host per protocol period, directly and then, without an acknowledgement, through other hosts (indirect probes). */
 export type Prober = {
-	/** Ends the last probe, and starts the next. */
-	startPeriod: () => void;
-	/** Drops the probe under way, as this process was paused. */
-	dropProbe: () => void;
-	/** Takes in an answer to a probe of this host or of one that it makes for another. */
-	receiveAck: (sequence: number, about: HostId) => void;
-	/** Probes a host for another. */
-	probeFor: (asker: Target, sequence: number, target: HostId) => void;
-	/** Notes that a message came from any host. */
-	markHeard: () => void;
-	/** Declares hosts gone whose suspicion has lasted. */
-	sweep: () => void;
+	/** Finishes the current probe, suspecting its target unless it was acknowledged, and starts the next one. */
+	startNextProbe: () => void;
+	/** Abandons the current probe without a verdict, because this process was paused. */
+	abandonProbe: () => void;
+	/** Records the acknowledgement of a probe, and forwards it if the probe was made on behalf of another host. */
+	receiveAck: (sequence: number, target: HostId) => void;
+	/** Probes a host on behalf of another; `sequence` is the number of the ping request. */
+	probeOnBehalf: (requester: Target, sequence: number, target: HostId) => void;
+	/** Records that a packet arrived, which shows that this host isn't isolated. */
+	recordContact: () => void;
+	/** Declares hosts gone whose suspicion timeout has expired. */
+	declareExpiredGone: () => void;
 };
 
 type Probe = {target: HostId; sequences: Set<number>; isAnswered: boolean};
-type Relay = {asker: Target; sequence: number};
+type RelayedProbe = {requester: Target; sequence: number};
 
 /** Creates a prober. */
-export const createProber = ({clock, random, view, outbox}: {clock: Clock; random: Random; view: View; outbox: Outbox}): Prober => {
-	const order = createProbeOrder(random);
-	const relays = new Map<number, Relay>();
+export const createProber = ({clock, random, view, packetSender}: {clock: Clock; random: Random; view: View; packetSender: PacketSender}): Prober => {
+	const probeOrder = createProbeOrder(random);
+	const relayedProbes = new Map<number, RelayedProbe>();
 	let probe: Probe | undefined;
-	let cancelIndirect: Cancel | undefined;
-	let heardAt: Milliseconds = clock.monotonic();
+	let cancelIndirectProbes: Cancel | undefined;
+	let lastContactAt: Milliseconds = clock.monotonic();
 
-	const getOthers = (): HostId[] => view.table.getPresent().map(({host}) => host).filter(host => host !== view.getSelf().host);
+	const getOtherHosts = (): HostId[] => view.table.getPresent().map(({host}) => host).filter(host => host !== view.getSelf().host);
 
 	const probeIndirectly = (current: Probe): void => {
 		if (current.isAnswered) {
 			return;
 		}
 
-		const helpers = shuffle(getOthers().filter(host => host !== current.target), random).slice(0, indirectProbes);
-		for (const helper of helpers) {
-			const entry = view.table.get(helper);
+		const relayHosts = shuffle(getOtherHosts().filter(host => host !== current.target), random).slice(0, indirectProbeCount);
+		for (const relayHost of relayHosts) {
+			const entry = view.table.get(relayHost);
 			if (entry !== undefined) {
-				current.sequences.add(outbox.send(entry, {kind: 'ping-request', target: current.target}));
+				current.sequences.add(packetSender.send(entry, {kind: 'ping-request', target: current.target}));
 			}
 		}
 	};
 
-	const claim = (host: HostId, standing: 'suspected' | 'gone'): void => {
+	const applyClaim = (host: HostId, liveness: 'suspected' | 'gone'): void => {
 		const entry = view.table.get(host);
 		if (entry !== undefined) {
-			view.applyUpdate({...entry, standing});
+			view.applyUpdate({...entry, liveness});
 		}
 	};
 
-	const endProbe = (): void => {
+	const finishProbe = (): void => {
 		if (probe !== undefined && !probe.isAnswered) {
-			claim(probe.target, 'suspected');
+			applyClaim(probe.target, 'suspected');
 		}
 
 		probe = undefined;
 	};
 
 	const startProbe = (): void => {
-		const target = view.table.get(order.getNext(getOthers()) ?? '');
+		const target = view.table.get(probeOrder.getNext(getOtherHosts()) ?? '');
 		if (target === undefined) {
 			return;
 		}
 
-		const current: Probe = {target: target.host, sequences: new Set([outbox.send(target, {kind: 'ping'})]), isAnswered: false};
+		const current: Probe = {target: target.host, sequences: new Set([packetSender.send(target, {kind: 'ping'})]), isAnswered: false};
 		probe = current;
-		cancelIndirect = clock.after(directTimeout, () => {
+		cancelIndirectProbes = clock.after(directProbeTimeout, () => {
 			probeIndirectly(current);
 		});
 	};
 
 	return {
-		startPeriod() {
-			cancelIndirect?.();
-			endProbe();
+		startNextProbe() {
+			cancelIndirectProbes?.();
+			finishProbe();
 			startProbe();
 		},
-		dropProbe() {
-			cancelIndirect?.();
+		abandonProbe() {
+			cancelIndirectProbes?.();
 			probe = undefined;
 		},
-		receiveAck(sequence, about) {
-			if (probe?.target === about && probe.sequences.has(sequence)) {
+		receiveAck(sequence, target) {
+			if (probe?.target === target && probe.sequences.has(sequence)) {
 				probe.isAnswered = true;
 			}
 
-			const relay = relays.get(sequence);
-			if (relay !== undefined) {
-				relays.delete(sequence);
-				outbox.send(relay.asker, {kind: 'ack', sequence: relay.sequence, about});
+			const relayedProbe = relayedProbes.get(sequence);
+			if (relayedProbe !== undefined) {
+				relayedProbes.delete(sequence);
+				packetSender.send(relayedProbe.requester, {kind: 'ack', sequence: relayedProbe.sequence, target});
 			}
 		},
-		probeFor(asker, sequence, host) {
+		probeOnBehalf(requester, sequence, host) {
 			const target = view.table.get(host);
 			if (target === undefined) {
 				return;
 			}
 
-			const own = outbox.send(target, {kind: 'ping'});
-			relays.set(own, {asker, sequence});
-			clock.after(probePeriod, () => {
-				relays.delete(own);
+			const ownSequence = packetSender.send(target, {kind: 'ping'});
+			relayedProbes.set(ownSequence, {requester, sequence});
+			clock.after(probeInterval, () => {
+				relayedProbes.delete(ownSequence);
 			});
 		},
-		markHeard() {
-			heardAt = clock.monotonic();
+		recordContact() {
+			lastContactAt = clock.monotonic();
 		},
-		sweep() {
+		declareExpiredGone() {
 			const now = clock.monotonic();
-			const isIsolated = now - heardAt > isolationLimit;
-			for (const host of view.suspicions.getExpired(now, isIsolated ? isolationFactor : 1)) {
-				claim(host, 'gone');
+			const isIsolated = now - lastContactAt > isolationTimeout;
+			for (const host of view.suspicions.getExpired(now, isIsolated ? isolationMultiplier : 1)) {
+				applyClaim(host, 'gone');
 			}
 		},
 	};
--- a/packages/membership/src/protocol/receiver.ts
+++ b/packages/membership/src/protocol/receiver.ts
@@ -3,44 +3,44 @@
 import {decodePacket} from '../wire/codec.js';
 import type {Packet} from '../wire/packet.js';
 import {createReplayWindow} from '../wire/replay-window.js';
-import type {Seal} from '../wire/seal.js';
-import type {NoteBoard} from './note-board.js';
-import {getPages} from './packing.js';
-import type {Outbox, Target} from './outbox.js';
+import type {DatagramSigner} from '../wire/datagram-signer.js';
+import type {AnnouncementChannel} from './announcement-channel.js';
+import {createPages} from './piggyback.js';
+import type {PacketSender, Target} from './packet-sender.js';
 import type {Prober} from './prober.js';
-import type {Spreader} from './spreader.js';
+import type {Disseminator} from './disseminator.js';
 import type {View} from './view.js';
 
-/** What the receiver works on. */
-export type ReceiverContext = {
+/** Dependencies of the receiver. */
+export type ReceiverOptions = {
 	view: View;
-	seal: Seal;
-	outbox: Outbox;
+	signer: DatagramSigner;
+	packetSender: PacketSender;
 	prober: Prober;
 	metrics: Metrics;
-	board: NoteBoard;
-	spreader: Spreader;
+	announcementChannel: AnnouncementChannel;
+	disseminator: Disseminator;
 };
 
-/** Receives datagrams. */
+/** Handles received datagrams. */
 export type Receiver = {receive: (datagram: Uint8Array) => void};
 
-/** Share by which a host must know more hosts before its table is asked for. */
-const largerShare = 1.1;
+/** Factor by which the sender must know more hosts than this one before its table is requested. */
+const tableRequestRatio = 1.1;
 
-/** Bytes that UDP and IP add to a datagram. */
-const datagramOverhead = 28;
+/** Size of the UDP and IPv4 headers of a datagram. */
+const datagramOverheadBytes = 28;
 
 type DropReason = 'signature' | 'malformed' | 'misdirected' | 'replayed';
 
-/** Creates a receiver. A datagram that isn't signed, whole, for this host and new is counted and dropped. */
-export const createReceiver = (context: ReceiverContext): Receiver => {
-	const {view, seal, outbox, prober, metrics, board, spreader} = context;
-	const window = createReplayWindow();
+/** Creates a receiver. It drops and counts datagrams that have no valid signature, are malformed, are addressed to another host or were received before. */
+export const createReceiver = (options: ReceiverOptions): Receiver => {
+	const {view, signer, packetSender, prober, metrics, announcementChannel, disseminator} = options;
+	const replayWindow = createReplayWindow();
 	const {host: self} = view.getSelf();
 
-	const open = (datagram: Uint8Array): Packet | DropReason => {
-		const body = seal.open(datagram);
+	const openPacket = (datagram: Uint8Array): Packet | DropReason => {
+		const body = signer.verify(datagram);
 		if (body === undefined) {
 			return 'signature';
 		}
@@ -55,47 +55,47 @@
 			return 'misdirected';
 		}
 
-		return window.accept(from.host, from.incarnation, sequence) ? packet : 'replayed';
+		return replayWindow.accept(from.host, from.incarnation, sequence) ? packet : 'replayed';
 	};
 
-	const learn = ({from, content, entries, updates, notes}: Packet): void => {
+	const applyPacket = ({from, message, entries, updates, announcements}: Packet): void => {
 		for (const entry of entries) {
-			view.applyEntry(entry, content.kind !== 'page');
+			view.applyEntry(entry, message.kind !== 'page');
 		}
 
 		for (const update of [from, ...updates]) {
 			view.applyUpdate(update);
 		}
 
-		board.receive(notes);
+		announcementChannel.receive(announcements);
 	};
 
 	const sendEntries = (target: Target, hosts: HostId[]): void => {
 		const entries = hosts.map(host => view.table.get(host)).filter(entry => entry !== undefined);
-		for (const page of getPages(entries, [])) {
-			outbox.send(target, {kind: 'page'}, page);
+		for (const page of createPages(entries, [])) {
+			packetSender.send(target, {kind: 'page'}, page);
 		}
 	};
 
-	const answer = (sender: Target, {content, sequence}: Packet): void => {
-		switch (content.kind) {
+	const handleMessage = (sender: Target, {message, sequence}: Packet): void => {
+		switch (message.kind) {
 			case 'ping': {
-				outbox.send(sender, {kind: 'ack', sequence, about: self});
+				packetSender.send(sender, {kind: 'ack', sequence, target: self});
 				break;
 			}
 
 			case 'ack': {
-				prober.receiveAck(content.sequence, content.about);
+				prober.receiveAck(message.sequence, message.target);
 				break;
 			}
 
 			case 'ping-request': {
-				prober.probeFor(sender, sequence, content.target);
+				prober.probeOnBehalf(sender, sequence, message.target);
 				break;
 			}
 
 			case 'join': {
-				spreader.sendTable(sender);
+				disseminator.sendTable(sender);
 				break;
 			}
 
@@ -108,28 +108,28 @@
 
 	return {
 		receive(datagram) {
-			metrics.count('membership_bytes_received', {}, datagram.length + datagramOverhead);
-			const packet = open(datagram);
+			metrics.count('membership_bytes_received', {}, datagram.length + datagramOverheadBytes);
+			const packet = openPacket(datagram);
 			if (typeof packet === 'string') {
 				metrics.count('membership_messages_dropped', {reason: packet});
 				return;
 			}
 
-			prober.markHeard();
-			learn(packet);
+			prober.recordContact();
+			applyPacket(packet);
 			const sender = view.table.get(packet.from.host);
 			if (sender === undefined) {
 				return;
 			}
 
-			answer(sender, packet);
-			sendEntries(sender, packet.wants);
-			if (sender.standing !== 'alive' && packet.content.kind === 'ack') {
-				outbox.send(sender, {kind: 'gossip'});
+			handleMessage(sender, packet);
+			sendEntries(sender, packet.entryRequests);
+			if (sender.liveness !== 'alive' && packet.message.kind === 'ack') {
+				packetSender.send(sender, {kind: 'gossip'});
 			}
 
-			if (packet.present > (view.table.getPresent().length * largerShare) + 1) {
-				spreader.askTable(sender);
+			if (packet.presentCount > (view.table.getPresent().length * tableRequestRatio) + 1) {
+				disseminator.requestTable(sender);
 			}
 		},
 	};
--- a/packages/membership/src/protocol/suspicions.ts
+++ b/packages/membership/src/protocol/suspicions.ts
@@ -1,15 +1,15 @@
 import type {HostId, Milliseconds} from '@gentianlift/types';
 
-/** Hosts under suspicion and when each counts as gone. */
+/** Suspected hosts, and the timeout after which each is declared gone. */
 export type Suspicions = {
-	/** Starts the time of a host, unless it runs already. */
+	/** Starts the timeout of a host, unless it is already running. */
 	start: (host: HostId, now: Milliseconds, timeout: Milliseconds) => void;
-	end: (host: HostId) => void;
-	/** Brings a host's end forward, on other evidence against it. */
-	shorten: (host: HostId, timeout: Milliseconds) => void;
-	/** Moves all ends back, after a pause of this process. */
+	cancel: (host: HostId) => void;
+	/** Shortens the timeout of a suspected host, on further evidence that it is gone. */
+	shortenTimeout: (host: HostId, timeout: Milliseconds) => void;
+	/** Extends all timeouts, after a pause of this process. */
 	postpone: (by: Milliseconds) => void;
-	/** Hosts whose time is over; `factor` stretches it. */
+	/** Returns the hosts whose timeout, multiplied by `factor`, has expired. */
 	getExpired: (now: Milliseconds, factor: number) => HostId[];
 };
 
@@ -24,10 +24,10 @@
 				suspicions.set(host, {since: now, timeout});
 			}
 		},
-		end(host) {
+		cancel(host) {
 			suspicions.delete(host);
 		},
-		shorten(host, timeout) {
+		shortenTimeout(host, timeout) {
 			const known = suspicions.get(host);
 			if (known !== undefined) {
 				known.timeout = Math.min(known.timeout, timeout);
--- a/packages/membership/src/protocol/timing.ts
+++ b/packages/membership/src/protocol/timing.ts
@@ -1,53 +1,51 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Time between two probes of a host. */
-export const probePeriod: Milliseconds = 500;
-/** Time for a direct answer before other hosts are asked to probe. */
-export const directTimeout: Milliseconds = 200;
-/** Hosts asked to probe in one's place. */
-export const indirectProbes = 3;
-/** Shortest time from suspicion to gone. */
-export const suspicionTimeout: Milliseconds = 2500;
-/** Factor on the suspicion timeout while this host hears from nobody, and so may itself be cut off. */
-export const isolationFactor = 6;
-/** Silence of all others after which this host may itself be cut off. */
-export const isolationLimit: Milliseconds = 2000;
-/** How late a period may start for the probe before it to be judged: an answer may be waiting unread. */
-export const longestProbeLateness: Milliseconds = 50;
-/** How late a period may start before this process counts as having been paused. */
-export const longestLateness: Milliseconds = 700;
-/** Time between extra messages while urgent facts are new. */
+/** Length of a protocol period, in which this host probes one other host. */
+export const probeInterval: Milliseconds = 500;
+/** Time to wait for the acknowledgement of a direct probe before indirect probes are sent. */
+export const directProbeTimeout: Milliseconds = 200;
+/** Number of hosts asked to probe a host that didn't acknowledge the direct probe. */
+export const indirectProbeCount = 3;
+/** Minimum time for which a host is suspected before it is declared gone. */
+export const minSuspicionTimeout: Milliseconds = 2500;
+/** Multiplier of the suspicion timeout while this host receives nothing, as it may itself be partitioned. */
+export const isolationMultiplier = 6;
+/** Time without any packet received after which this host may itself be partitioned. */
+export const isolationTimeout: Milliseconds = 2000;
+/** Maximum lateness of a period at which the previous probe still counts as failed; beyond it, the acknowledgement may have arrived but not been read yet. */
+export const maxProbeLateness: Milliseconds = 50;
+/** Lateness of a period above which this process counts as having been paused. */
+export const pauseThreshold: Milliseconds = 700;
+/** Interval of gossip messages, which are sent between probes while urgent facts are queued. */
 export const gossipInterval: Milliseconds = 200;
-/** Hosts that get each extra message. */
+/** Number of hosts that each round of gossip messages is sent to. */
 export const gossipFanOut = 2;
-/** Extra messages in one burst, and how many a second refill it. */
+/** Capacity of the token bucket that limits gossip messages, in messages. */
 export const gossipBurst = 30;
-export /**
- *
- */
-const gossipPerSecond = 1;
-/** Times that an urgent fact is sent by extra messages. */
-export const urgentSends = 8;
-/** Time between probes of hosts that are gone, seeds included, so that halves find each other again. */
-export const healInterval: Milliseconds = 4000;
-/** Time after which a host that is gone is forgotten. */
-export const forgetAfter: Milliseconds = 7_200_000;
-/** Time between pages of the table sent to a host that joins, and pages to one host at most. */
+/** Rate at which that token bucket refills, in messages per second. */
+export const gossipPerSecond = 1;
+/** Number of transmissions after which an urgent fact no longer causes gossip messages. */
+export const urgentTransmissions = 8;
+/** Interval of attempts to reach a host that is gone or an unknown seed, so that the parts of a partitioned fleet merge again. */
+export const partitionHealInterval: Milliseconds = 4000;
+/** Time for which the entry of a gone host is kept. */
+export const goneRetention: Milliseconds = 7_200_000;
+/** Interval between pages of the member table sent to one host. */
 export const pageInterval: Milliseconds = 100;
-/** Time between requests for the whole table. */
+/** Interval of requests for a full member table, and the minimum time between two of them. */
 export const joinInterval: Milliseconds = 1000;
-/** Time between reads of the host list. */
-export const listInterval: Milliseconds = 10_000;
-/** Largest datagram, in bytes. */
-export const maxDatagram = 1000;
-/** Times that a whole entry is passed on by one host; whoever misses it asks for it when it sees an update. */
-export const entrySends = 4;
-/** Table entries repeated in each message, whether new or not, so that lost news heals. */
-export const repeatedUpdates = 8;
+/** Interval of reads of the host list. */
+export const hostListInterval: Milliseconds = 10_000;
+/** Size up to which datagrams are filled with updates, in bytes, without UDP and IP headers. */
+export const maxDatagramBytes = 1000;
+/** Number of times one host transmits a full entry; a host that misses it requests it when it receives an update about that host. */
+export const entryTransmissions = 4;
+/** Number of table entries whose state is repeated in each packet, changed or not, so that lost updates are repaired (anti-entropy). */
+export const antiEntropyUpdates = 8;
 
-/** Gets the time from suspicion to gone, which grows with the number of hosts as news takes longer. */
-export const getSuspicionTimeout = (present: number): Milliseconds =>
-	Math.round(suspicionTimeout * Math.max(1, Math.log10(Math.max(1, present))));
+/** Returns the time from suspicion to gone. It grows with the logarithm of the number of hosts, as updates take longer to spread. */
+export const getSuspicionTimeout = (presentCount: number): Milliseconds =>
+	Math.round(minSuspicionTimeout * Math.max(1, Math.log10(Math.max(1, presentCount))));
 
-/** Gets how often a change is passed on by one host. */
-export const getSendLimit = (present: number): number => 4 * Math.ceil(Math.log10(present + 1));
+/** Returns the number of times one host transmits a change, which grows with the logarithm of the number of hosts. */
+export const getTransmissionLimit = (presentCount: number): number => 4 * Math.ceil(Math.log10(presentCount + 1));
--- a/packages/membership/src/protocol/view.ts
+++ b/packages/membership/src/protocol/view.ts
@@ -1,36 +1,36 @@
 import type {Clock} from '@gentianlift/clock';
 import type {HostId, Member, Milliseconds} from '@gentianlift/types';
 import {getMember, type Entry, type Update} from '../state/entry.js';
-import {createNoteStore} from '../state/note-store.js';
-import {createRumours} from '../state/rumours.js';
-import {createTable, type Merge} from '../state/table.js';
+import {createAnnouncementStore} from '../state/announcement-store.js';
+import {createDisseminationQueue} from '../state/dissemination-queue.js';
+import {createMemberTable, type MergeResult} from '../state/member-table.js';
 import {createListedHosts, type ListedHosts} from './listed-hosts.js';
-import type {Knowledge} from './packing.js';
+import type {DisseminationState} from './piggyback.js';
 import {createSuspicions, type Suspicions} from './suspicions.js';
 import {getSuspicionTimeout} from './timing.js';
 
-/** A member that is new or that changed in more than its load. */
+/** A member that is new, or that changed in anything other than its load. */
 export type MemberChange = {before: Member | undefined; after: Member};
 
-/** What this host knows of all hosts, and what follows from news of them. */
-export type View = Knowledge & {
+/** Membership as this host sees it. Applies updates to the member table and starts what follows from them: dissemination, suspicion timeouts and notifications. */
+export type View = DisseminationState & {
 	suspicions: Suspicions;
-	listed: ListedHosts;
-	/** Hosts whose entries are to be asked for. */
-	wants: Set<HostId>;
+	listedHosts: ListedHosts;
+	/** Hosts whose full entries have to be requested from others, as only an update about them was received. */
+	entryRequests: Set<HostId>;
 	getSelf: () => Entry;
-	/** Changes this host's own entry; `isClaim` raises its revision, and its beat is raised otherwise. */
-	setSelf: (change: Partial<Update>, isClaim: boolean) => void;
+	/** Changes this host's own entry and increments its revision if `isClaim`, its attribute revision otherwise. */
+	updateSelf: (change: Partial<Update>, isClaim: boolean) => void;
 	applyUpdate: (update: Update) => void;
-	/** Takes in a whole entry; `isNews` passes it on. */
-	applyEntry: (entry: Entry, isNews: boolean) => void;
+	/** Applies a full entry; if `isForwarded`, an entry of a new incarnation is queued for dissemination. */
+	applyEntry: (entry: Entry, isForwarded: boolean) => void;
 	getMembers: () => Member[];
 	onChange: (listener: (change: MemberChange) => void) => () => void;
-	/** Tells listeners of members that the host list has changed. */
-	refreshListed: (change: () => void) => void;
-	/** When a host was found gone. */
+	/** Runs a change of the listed hosts and notifies listeners of the members whose state it changed. */
+	refreshHostList: (change: () => void) => void;
+	/** Returns when a host was declared gone, in monotonic time; undefined if it isn't gone. */
 	getGoneSince: (host: HostId) => Milliseconds | undefined;
-	forget: (host: HostId) => void;
+	removeMember: (host: HostId) => void;
 };
 
 const isSameMember = (before: Member | undefined, after: Member): boolean =>
@@ -38,21 +38,21 @@
 
 /** Creates the view of a host that knows only itself. */
 export const createView = (clock: Clock, self: Entry): View => {
-	const table = createTable(self);
-	const notes = createNoteStore(clock);
-	const [entryRumours, updateRumours, noteRumours] = [createRumours(), createRumours(), createRumours()];
+	const table = createMemberTable(self);
+	const announcements = createAnnouncementStore(clock);
+	const [entryQueue, updateQueue, announcementQueue] = [createDisseminationQueue(), createDisseminationQueue(), createDisseminationQueue()];
 	const suspicions = createSuspicions();
-	const listed = createListedHosts(self.host);
+	const listedHosts = createListedHosts(self.host);
 	const listeners = new Set<(change: MemberChange) => void>();
-	const wants = new Set<HostId>();
+	const entryRequests = new Set<HostId>();
 	const goneSince = new Map<HostId, Milliseconds>();
 	let newestVersion = self.configurationVersion;
 	let members: Member[] | undefined;
 
-	const toMember = (entry: Entry): Member => getMember(entry, listed.isLeaving(entry.host, entry.incarnation));
+	const toMember = (entry: Entry): Member => getMember(entry, listedHosts.isLeaving(entry.host, entry.incarnation));
 	const getSelf = (): Entry => table.get(self.host) ?? self;
 
-	const tell = (before: Member | undefined, after: Member): void => {
+	const notifyListeners = (before: Member | undefined, after: Member): void => {
 		members = undefined;
 		if (isSameMember(before, after)) {
 			return;
@@ -63,24 +63,24 @@
 		}
 	};
 
-	const spread = (before: Entry | undefined, after: Entry, isNews: boolean): void => {
+	const queueForDissemination = (before: Entry | undefined, after: Entry, isForwarded: boolean): void => {
 		const isNewVersion = after.configurationVersion > newestVersion;
 		newestVersion = Math.max(newestVersion, after.configurationVersion);
 		if (before?.incarnation !== after.incarnation) {
-			if (isNews) {
-				entryRumours.add(after.host, true);
+			if (isForwarded) {
+				entryQueue.add(after.host, true);
 			}
-		} else if (before.revision !== after.revision || before.standing !== after.standing) {
-			updateRumours.add(after.host, true);
+		} else if (before.revision !== after.revision || before.liveness !== after.liveness) {
+			updateQueue.add(after.host, true);
 		} else if (before.configurationVersion !== after.configurationVersion) {
-			updateRumours.add(after.host, isNewVersion);
+			updateQueue.add(after.host, isNewVersion);
 		}
 	};
 
-	const follow = ({host, standing}: Entry): void => {
-		switch (standing) {
+	const trackSuspicion = ({host, liveness}: Entry): void => {
+		switch (liveness) {
 			case 'alive': {
-				suspicions.end(host);
+				suspicions.cancel(host);
 				goneSince.delete(host);
 				break;
 			}
@@ -91,25 +91,25 @@
 			}
 
 			case 'gone': {
-				suspicions.end(host);
+				suspicions.cancel(host);
 				goneSince.set(host, goneSince.get(host) ?? clock.monotonic());
 				break;
 			}
 		}
 	};
 
-	const finish = (merge: Merge, host: HostId, isNews = true): void => {
+	const applyMerge = (merge: MergeResult, host: HostId, isForwarded = true): void => {
 		switch (merge.kind) {
 			case 'changed': {
 				const {before, after} = merge;
-				spread(before, after, isNews);
-				follow(after);
-				tell(before && toMember(before), toMember(after));
+				queueForDissemination(before, after, isForwarded);
+				trackSuspicion(after);
+				notifyListeners(before && toMember(before), toMember(after));
 				break;
 			}
 
 			case 'unknown': {
-				wants.add(host);
+				entryRequests.add(host);
 				break;
 			}
 
@@ -119,18 +119,18 @@
 		}
 	};
 
-	const setSelf = (change: Partial<Update>, isClaim: boolean): void => {
+	const updateSelf = (change: Partial<Update>, isClaim: boolean): void => {
 		const known = getSelf();
-		const raised = isClaim ? {revision: known.revision + 1} : {beat: known.beat + 1};
-		finish(table.applyUpdate({...known, ...raised, ...change}), self.host);
+		const incremented = isClaim ? {revision: known.revision + 1} : {attributeRevision: known.attributeRevision + 1};
+		applyMerge(table.applyUpdate({...known, ...incremented, ...change}), self.host);
 	};
 
-	/** A claim about this host that isn't true is refuted by a higher revision. */
+	/** Refutes a false claim that this host is suspected or gone, by raising its own revision above that of the claim. */
 	const refute = (update: Update): void => {
 		const known = getSelf();
-		const isFalse = update.incarnation === known.incarnation && update.standing !== 'alive' && update.revision >= known.revision;
-		if (isFalse && known.standing === 'alive') {
-			setSelf({revision: update.revision + 1}, true);
+		const isFalse = update.incarnation === known.incarnation && update.liveness !== 'alive' && update.revision >= known.revision;
+		if (isFalse && known.liveness === 'alive') {
+			updateSelf({revision: update.revision + 1}, true);
 		}
 	};
 
@@ -138,28 +138,28 @@
 		if (update.host === self.host) {
 			refute(update);
 		} else {
-			finish(table.applyUpdate(update), update.host);
+			applyMerge(table.applyUpdate(update), update.host);
 		}
 	};
 
 	return {
 		table,
-		notes,
-		entryRumours,
-		updateRumours,
-		noteRumours,
+		announcements,
+		entryQueue,
+		updateQueue,
+		announcementQueue,
 		suspicions,
-		listed,
-		wants,
+		listedHosts,
+		entryRequests,
 		getSelf,
-		setSelf,
+		updateSelf,
 		applyUpdate,
-		applyEntry(entry, isNews) {
+		applyEntry(entry, isForwarded) {
 			if (entry.host === self.host) {
 				refute(entry);
 			} else {
-				wants.delete(entry.host);
-				finish(table.applyEntry(entry), entry.host, isNews);
+				entryRequests.delete(entry.host);
+				applyMerge(table.applyEntry(entry), entry.host, isForwarded);
 			}
 		},
 		getMembers() {
@@ -172,15 +172,15 @@
 				listeners.delete(listener);
 			};
 		},
-		refreshListed(change) {
+		refreshHostList(change) {
 			const before = new Map(table.getAll().map(entry => [entry.host, toMember(entry)]));
 			change();
 			for (const entry of table.getAll()) {
-				tell(before.get(entry.host), toMember(entry));
+				notifyListeners(before.get(entry.host), toMember(entry));
 			}
 		},
 		getGoneSince: host => goneSince.get(host),
-		forget(host) {
+		removeMember(host) {
 			table.remove(host);
 			goneSince.delete(host);
 			members = undefined;
--- a/packages/membership/src/schedules.test.ts
+++ b/packages/membership/src/schedules.test.ts
@@ -8,46 +8,46 @@
 type Step
 	= | {kind: 'kill' | 'start' | 'stop' | 'drain' | 'undrain' | 'deafen' | 'mute' | 'pause' | 'resume'; host: number}
 		| {kind: 'split'; at: number}
-		| {kind: 'lose'; share: number}
+		| {kind: 'lose'; lossRate: number}
 		| {kind: 'heal'};
 
 type HostStep = 'start' | 'kill' | 'stop' | 'drain' | 'undrain' | 'pause' | 'resume';
 
 const hostCount = 5;
-const longestGap: Milliseconds = 15_000;
-const quiet: Milliseconds = 60_000;
+const maxConvergenceTime: Milliseconds = 15_000;
+const settleTime: Milliseconds = 60_000;
 const hosts = Array.from({length: hostCount}, (_, index) => `h${index}`);
 const keys = Array.from({length: 20}, (_, index) => `key-${index}`);
 
-const host = fc.integer({min: 0, max: hostCount - 1});
-const step: fc.Arbitrary<Step> = fc.oneof(
-	fc.record({kind: fc.constantFrom('kill', 'start', 'stop', 'drain', 'undrain', 'deafen', 'mute', 'pause', 'resume'), host}),
+const hostIndex = fc.integer({min: 0, max: hostCount - 1});
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
+	fc.record({kind: fc.constantFrom('kill', 'start', 'stop', 'drain', 'undrain', 'deafen', 'mute', 'pause', 'resume'), host: hostIndex}),
 	fc.record({kind: fc.constant('split'), at: fc.integer({min: 1, max: hostCount - 1})}),
-	fc.record({kind: fc.constant('lose'), share: fc.double({min: 0, max: 0.3, noNaN: true})}),
+	fc.record({kind: fc.constant('lose'), lossRate: fc.double({min: 0, max: 0.3, noNaN: true})}),
 	fc.record({kind: fc.constant('heal')}),
 );
-const schedule = fc.array(fc.record({step, wait: fc.integer({min: 0, max: 12_000})}), {minLength: 1, maxLength: 8});
+const scheduleArbitrary = fc.array(fc.record({step: stepArbitrary, wait: fc.integer({min: 0, max: 12_000})}), {minLength: 1, maxLength: 8});
 
-const getNumber = (address: string): number => Number(address.slice(1, address.indexOf(':')));
+const getHostIndex = (address: string): number => Number(address.slice(1, address.indexOf(':')));
 
 const heal = (fleet: Fleet): void => {
-	fleet.network.setCut(() => false);
-	fleet.network.setLoss(0);
+	fleet.network.setPartition(() => false);
+	fleet.network.setLossRate(0);
 	for (const name of fleet.getRunning()) {
 		fleet.setPaused(name, false);
 	}
 };
 
-const applyStep = async (fleet: Fleet, wanted: Step): Promise<void> => {
+const applyStep = async (fleet: Fleet, step: Step): Promise<void> => {
 	const {network} = fleet;
-	switch (wanted.kind) {
+	switch (step.kind) {
 		case 'split': {
-			network.setCut((from, to) => (getNumber(from) < wanted.at) !== (getNumber(to) < wanted.at));
+			network.setPartition((from, to) => (getHostIndex(from) < step.at) !== (getHostIndex(to) < step.at));
 			break;
 		}
 
 		case 'lose': {
-			network.setLoss(wanted.share);
+			network.setLossRate(step.lossRate);
 			break;
 		}
 
@@ -57,12 +57,12 @@
 		}
 
 		case 'deafen': {
-			network.setCut((_from, to) => to === getGossipAddress(`h${wanted.host}`));
+			network.setPartition((_from, to) => to === getGossipAddress(`h${step.host}`));
 			break;
 		}
 
 		case 'mute': {
-			network.setCut(from => from === getGossipAddress(`h${wanted.host}`));
+			network.setPartition(from => from === getGossipAddress(`h${step.host}`));
 			break;
 		}
 
@@ -73,7 +73,7 @@
 		case 'undrain':
 		case 'pause':
 		case 'resume': {
-			await applyHostStep(fleet, wanted.kind, `h${wanted.host}`);
+			await applyHostStep(fleet, step.kind, `h${step.host}`);
 		}
 	}
 };
@@ -115,7 +115,7 @@
 	}
 };
 
-/** Owner of a key in the view of a host. */
+/** Returns the owner of a key in the view of a host. */
 const getOwnerAt = (fleet: Fleet, viewer: string, key: string): string | undefined =>
 	getOwner(key, getEligibleHosts(fleet.get(viewer).getMembers()));
 
@@ -124,21 +124,21 @@
 	return members.map(member => `${member.host} ${member.incarnation} ${member.state}`).toSorted().join(', ');
 };
 
-test('after quiet all views agree and nobody alive is gone', async () => {
-	await fc.assert(fc.asyncProperty(schedule, fc.integer(), async (steps, seed) => {
+test('after a random schedule of faults and a settling time, all views agree and contain exactly the running hosts', async () => {
+	await fc.assert(fc.asyncProperty(scheduleArbitrary, fc.integer(), async (steps, seed) => {
 		const clock = createManualClock(1_000_000);
 		const fleet = createFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
-		for (const {step: wanted, wait} of steps) {
+		for (const {step, wait} of steps) {
 			// eslint-disable-next-line no-await-in-loop -- Steps follow each other.
-			await applyStep(fleet, wanted);
+			await applyStep(fleet, step);
 			// eslint-disable-next-line no-await-in-loop -- Steps follow each other.
 			await clock.advance(wait);
 		}
 
 		heal(fleet);
-		await clock.advance(quiet);
+		await clock.advance(settleTime);
 		const running = fleet.getRunning();
 		const views = new Set(running.map(viewer => getSummary(fleet, viewer)));
 		expect(views.size).toBeLessThanOrEqual(1);
@@ -149,17 +149,17 @@
 	}), {seed: 7, numRuns: 60});
 });
 
-test('no key is without a running owner for longer than stated', async () => {
-	await fc.assert(fc.asyncProperty(fc.subarray(hosts, {minLength: 1, maxLength: 3}), fc.integer(), async (lost, seed) => {
+test('after hosts are killed, every key has one running owner within the convergence time', async () => {
+	await fc.assert(fc.asyncProperty(fc.subarray(hosts, {minLength: 1, maxLength: 3}), fc.integer(), async (killedHosts, seed) => {
 		const clock = createManualClock(1_000_000);
 		const fleet = createFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
-		for (const name of lost) {
+		for (const name of killedHosts) {
 			fleet.kill(name);
 		}
 
-		await clock.advance(longestGap);
+		await clock.advance(maxConvergenceTime);
 		const running = fleet.getRunning();
 		for (const key of keys) {
 			const owners = new Set(running.map(viewer => getOwnerAt(fleet, viewer, key)));
--- a/packages/membership/src/state/entry.ts
+++ b/packages/membership/src/state/entry.ts
@@ -2,59 +2,59 @@
 	HostId, HostState, Incarnation, Member,
 } from '@gentianlift/types';
 
-/** What other hosts make of a host, from the weakest claim to the strongest. */
-export const standings = ['alive', 'suspected', 'gone'] as const;
-/** One of `standings`. */
-export type Standing = typeof standings[number];
+/** Liveness that is claimed of a host, in order of precedence: within one revision a later one overrides an earlier one. */
+export const livenessStates = ['alive', 'suspected', 'gone'] as const;
+/** One of `livenessStates`. */
+export type Liveness = typeof livenessStates[number];
 
-/** What is known of a host and changes while its process runs. */
+/** The part of a host's entry that changes while its process runs; small enough to be piggybacked on probes. */
 export type Update = {
 	host: HostId;
 	incarnation: Incarnation;
-	/** Raised by the host itself alone, to refute a claim or to change `isDraining`. */
+	/** Incremented only by the host itself, to refute a claim or to change `isDraining`. */
 	revision: number;
-	standing: Standing;
+	liveness: Liveness;
 	isDraining: boolean;
-	/** Raised by the host itself when its version or load changes. */
-	beat: number;
+	/** Incremented by the host itself when its configuration version or load changes. */
+	attributeRevision: number;
 	configurationVersion: number;
 	/** From 0 to 1, in steps of 1/255. */
 	load: number;
 };
 
-/** A host with its addresses, which are fixed for one incarnation. */
+/** An entry of the member table: the state of a host with its zone and addresses, which are fixed for one incarnation. */
 export type Entry = Update & Pick<Member, 'zone' | 'callerAddress' | 'peerAddress' | 'gossipAddress'>;
 
-const getRank = (standing: Standing): number => standings.indexOf(standing);
+const getSeverity = (liveness: Liveness): number => livenessStates.indexOf(liveness);
 
-/** Whether the claim about a host in `next` stands over the one in `known`, both of the same incarnation. */
-export const isNewerClaim = (next: Update, known: Update): boolean =>
-	next.revision === known.revision ? getRank(next.standing) > getRank(known.standing) : next.revision > known.revision;
+/** Returns whether the claim about a host in `next` overrides the one in `known`, both of the same incarnation. */
+export const isOverridingClaim = (next: Update, known: Update): boolean =>
+	next.revision === known.revision ? getSeverity(next.liveness) > getSeverity(known.liveness) : next.revision > known.revision;
 
-/** Merges an update of the same incarnation into an entry; the order of merges makes no difference. */
+/** Merges an update of the same incarnation into an entry. Merging is commutative, so hosts that receive updates in different orders converge. */
 export const mergeUpdate = (known: Entry, next: Update): Entry => {
-	const claim = isNewerClaim(next, known) ? next : known;
-	const figures = next.beat > known.beat ? next : known;
+	const claim = isOverridingClaim(next, known) ? next : known;
+	const attributes = next.attributeRevision > known.attributeRevision ? next : known;
 	return {
 		...known,
 		revision: claim.revision,
-		standing: claim.standing,
+		liveness: claim.liveness,
 		isDraining: claim.isDraining,
-		beat: figures.beat,
-		configurationVersion: figures.configurationVersion,
-		load: figures.load,
+		attributeRevision: attributes.attributeRevision,
+		configurationVersion: attributes.configurationVersion,
+		load: attributes.load,
 	};
 };
 
-const getState = ({standing, isDraining}: Update, isLeaving: boolean): HostState => {
-	if (standing === 'gone') {
+const getState = ({liveness, isDraining}: Update, isLeaving: boolean): HostState => {
+	if (liveness === 'gone') {
 		return 'gone';
 	}
 
-	return isDraining || isLeaving ? 'draining' : standing;
+	return isDraining || isLeaving ? 'draining' : liveness;
 };
 
-/** Gets the member that an entry stands for; `isLeaving` is what the host list says of it. */
+/** Returns the member for an entry; `isLeaving` is whether the host list has the host as leaving. */
 export const getMember = (entry: Entry, isLeaving: boolean): Member => ({
 	host: entry.host,
 	incarnation: entry.incarnation,
--- a/packages/membership/src/state/table.ts
+++ b/packages/membership/src/state/member-table.ts
@@ -1,35 +1,35 @@
 import type {HostId} from '@gentianlift/types';
 import {mergeUpdate, type Entry, type Update} from './entry.js';
 
-/** What came of an update. `unknown` asks for the whole entry. */
-export type Merge
+/** Result of applying an update; `unknown` means that the full entry has to be requested. */
+export type MergeResult
 	= | {kind: 'changed'; before: Entry | undefined; after: Entry}
 		| {kind: 'unchanged'}
 		| {kind: 'unknown'};
 
-/** All hosts that this one knows. */
-export type Table = {
+/** All hosts known to this one, with what is known of each. */
+export type MemberTable = {
 	get: (host: HostId) => Entry | undefined;
 	getAll: () => Entry[];
-	/** Hosts that aren't gone. */
+	/** Returns the entries of hosts that aren't gone. */
 	getPresent: () => Entry[];
-	applyUpdate: (update: Update) => Merge;
-	applyEntry: (entry: Entry) => Merge;
+	applyUpdate: (update: Update) => MergeResult;
+	applyEntry: (entry: Entry) => MergeResult;
 	remove: (host: HostId) => void;
-	/** Some entries in turn, so that repeated calls go through the whole table. */
-	getNext: (count: number) => Entry[];
+	/** Returns up to `count` entries, round-robin, so that repeated calls cover the whole table. */
+	getNextEntries: (count: number) => Entry[];
 };
 
-const isSame = (before: Entry, after: Entry): boolean =>
-	before.revision === after.revision && before.standing === after.standing && before.beat === after.beat;
+const isUnchanged = (before: Entry, after: Entry): boolean =>
+	before.revision === after.revision && before.liveness === after.liveness && before.attributeRevision === after.attributeRevision;
 
-/** Creates a table that holds only this host. */
-export const createTable = (self: Entry): Table => {
+/** Creates a table that contains only this host. */
+export const createMemberTable = (self: Entry): MemberTable => {
 	const entries = new Map<HostId, Entry>([[self.host, self]]);
 	let order: HostId[] = [self.host];
 	let position = 0;
 
-	const set = (before: Entry | undefined, after: Entry): Merge => {
+	const set = (before: Entry | undefined, after: Entry): MergeResult => {
 		if (before === undefined) {
 			order.push(after.host);
 		}
@@ -38,10 +38,10 @@
 		return {kind: 'changed', before, after};
 	};
 
-	const applyUpdate = (update: Update): Merge => {
+	const applyUpdate = (update: Update): MergeResult => {
 		const known = entries.get(update.host);
 		if (known === undefined || update.incarnation > known.incarnation) {
-			return update.standing === 'gone' ? {kind: 'unchanged'} : {kind: 'unknown'};
+			return update.liveness === 'gone' ? {kind: 'unchanged'} : {kind: 'unknown'};
 		}
 
 		if (update.incarnation < known.incarnation) {
@@ -49,13 +49,13 @@
 		}
 
 		const after = mergeUpdate(known, update);
-		return isSame(known, after) ? {kind: 'unchanged'} : set(known, after);
+		return isUnchanged(known, after) ? {kind: 'unchanged'} : set(known, after);
 	};
 
 	return {
 		get: host => entries.get(host),
 		getAll: () => [...entries.values()],
-		getPresent: () => [...entries.values()].filter(entry => entry.standing !== 'gone'),
+		getPresent: () => [...entries.values()].filter(entry => entry.liveness !== 'gone'),
 		applyUpdate,
 		applyEntry(entry) {
 			const known = entries.get(entry.host);
@@ -69,7 +69,7 @@
 			entries.delete(host);
 			order = order.filter(other => other !== host);
 		},
-		getNext(count) {
+		getNextEntries(count) {
 			const chosen: Entry[] = [];
 			for (let step = 0; step < Math.min(count, order.length); step++) {
 				position = (position + 1) % order.length;
--- a/packages/membership/src/transport/memory-network.ts
+++ b/packages/membership/src/transport/memory-network.ts
@@ -2,31 +2,31 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
 import type {Transport} from './transport.js';
 
-/** A network in memory for tests. */
+/** An in-memory network for tests. */
 export type MemoryNetwork = {
 	createTransport: (address: Address) => Transport;
-	/** Decides which datagrams are lost: all of them where `isCut` holds. */
-	setCut: (isCut: (from: Address, to: Address) => boolean) => void;
-	/** Loses all that an address sends. */
+	/** Drops all datagrams between addresses for which `isPartitioned` returns true. */
+	setPartition: (isPartitioned: (from: Address, to: Address) => boolean) => void;
+	/** Drops everything that an address sends. */
 	setMuted: (address: Address, isMuted: boolean) => void;
-	/** Loses a share of all datagrams, from 0 to 1. */
-	setLoss: (share: number) => void;
-	/** Delivers bytes as if they came from anywhere. */
+	/** Drops datagrams at random; `rate` is the probability, from 0 to 1. */
+	setLossRate: (rate: number) => void;
+	/** Delivers a datagram from an arbitrary sender. */
 	inject: (to: Address, bytes: Uint8Array) => void;
-	/** Called with each datagram sent. */
+	/** Calls `observe` with each datagram sent, dropped ones included. */
 	onSend: (observe: (from: Address, to: Address, bytes: Uint8Array) => void) => void;
 };
 
-/** Longest delay of a datagram. */
+/** Maximum delivery delay of a datagram. */
 const maxDelay: Milliseconds = 20;
 
-/** Creates an empty network whose datagrams take a few milliseconds. */
+/** Creates a network without transports; each datagram is delivered after a random delay of up to `maxDelay`. */
 export const createMemoryNetwork = (clock: Clock, random: Random): MemoryNetwork => {
 	const receivers = new Map<Address, (bytes: Uint8Array) => void>();
 	const observers: Array<(from: Address, to: Address, bytes: Uint8Array) => void> = [];
-	let isCut = (_from: Address, _to: Address): boolean => false;
+	let isPartitioned = (_from: Address, _to: Address): boolean => false;
 	const muted = new Set<Address>();
-	let loss = 0;
+	let lossRate = 0;
 
 	const deliver = (to: Address, bytes: Uint8Array): void => {
 		receivers.get(to)?.(bytes);
@@ -42,7 +42,7 @@
 					observe(address, to, bytes);
 				}
 
-				if (muted.has(address) || isCut(address, to) || random.next() < loss) {
+				if (muted.has(address) || isPartitioned(address, to) || random.next() < lossRate) {
 					return;
 				}
 
@@ -54,8 +54,8 @@
 				receivers.delete(address);
 			},
 		}),
-		setCut(next) {
-			isCut = next;
+		setPartition(next) {
+			isPartitioned = next;
 		},
 		setMuted(address, isMuted) {
 			if (isMuted) {
@@ -64,8 +64,8 @@
 				muted.delete(address);
 			}
 		},
-		setLoss(share) {
-			loss = share;
+		setLossRate(rate) {
+			lossRate = rate;
 		},
 		inject: deliver,
 		onSend(observe) {
--- a/packages/membership/src/transport/udp-transport.test.ts
+++ b/packages/membership/src/transport/udp-transport.test.ts
@@ -3,7 +3,7 @@
 
 const address = '127.77.3.1:17946';
 
-test('carries a datagram, and nothing after its stop', async () => {
+test('delivers a datagram, and sends nothing once stopped', async () => {
 	const receiver = createUdpTransport(address);
 	const sender = createUdpTransport('127.0.0.1:0');
 	await sender.start(() => undefined);
--- a/packages/membership/src/transport/udp-transport.ts
+++ b/packages/membership/src/transport/udp-transport.ts
@@ -4,16 +4,16 @@
 
 const ignoreError = (): void => undefined;
 
-/** Creates a transport over UDP that listens at an address. */
+/** Creates a UDP transport that listens on an address. */
 export const createUdpTransport = (address: Address): Transport => {
 	const {host, port} = splitAddress(address);
 	const socket = createSocket(host.includes(':') ? 'udp6' : 'udp4');
-	let pending = 0;
+	let pendingSends = 0;
 	let isStopping = false;
 
 	const finishSend = (): void => {
-		pending--;
-		if (isStopping && pending === 0) {
+		pendingSends--;
+		if (isStopping && pendingSends === 0) {
 			socket.close();
 		}
 	};
@@ -34,13 +34,13 @@
 			}
 
 			const target = splitAddress(to);
-			// A datagram that can't be sent is as good as lost.
-			pending++;
+			// A send error is ignored: the protocol handles it like a lost datagram.
+			pendingSends++;
 			socket.send(bytes, target.port, target.host, finishSend);
 		},
 		stop() {
 			isStopping = true;
-			if (pending === 0) {
+			if (pendingSends === 0) {
 				socket.close();
 			}
 		},
--- a/packages/membership/src/wire/codec.ts
+++ b/packages/membership/src/wire/codec.ts
@@ -1,47 +1,50 @@
 import {decode, encode} from '@msgpack/msgpack';
 import {noteTopics, type HostId, type Note} from '@gentianlift/types';
-import {standings, type Entry, type Update} from '../state/entry.js';
-import type {Content, Packet} from './packet.js';
-
-type UpdateFields = [host: HostId, incarnation: number, revision: number, state: number, beat: number, version: number, load: number];
-type EntryFields = [...UpdateFields, zone: string, callerAddress: string, peerAddress: string, gossipAddress: string];
-type NoteFields = [topic: number, key: string, value: string, host: HostId, sequence: number, duration: number];
-type ContentFields = [kind: number, ...rest: Array<string | number>];
-type PacketFields = [
-	from: UpdateFields, to: HostId, sequence: number, present: number, content: ContentFields, updates: UpdateFields[], entries: EntryFields[], wants: HostId[], notes: NoteFields[],
+import {livenessStates, type Entry, type Update} from '../state/entry.js';
+import type {Message, Packet} from './packet.js';
+
+type PackedUpdate = [host: HostId, incarnation: number, revision: number, state: number, attributeRevision: number, version: number, load: number];
+type PackedEntry = [...PackedUpdate, zone: string, callerAddress: string, peerAddress: string, gossipAddress: string];
+type PackedAnnouncement = [topic: number, key: string, value: string, host: HostId, sequence: number, duration: number];
+type PackedMessage = [kind: number, ...rest: Array<string | number>];
+type PackedPacket = [
+	from: PackedUpdate, to: HostId, sequence: number, presentCount: number, message: PackedMessage,
+	updates: PackedUpdate[], entries: PackedEntry[], entryRequests: HostId[], announcements: PackedAnnouncement[],
 ];
 
+/** Steps in which the load is encoded, so that it takes at most two bytes. */
 const loadSteps = 255;
-const drainingOffset = standings.length;
-const contentKinds = ['ping', 'ack', 'ping-request', 'join', 'page', 'gossip'] as const satisfies Array<Content['kind']>;
+/** Added to the index of the liveness when the host is draining. */
+const drainingOffset = livenessStates.length;
+const messageKinds = ['ping', 'ack', 'ping-request', 'join', 'page', 'gossip'] as const satisfies Array<Message['kind']>;
 
-const getUpdateFields = (update: Update): UpdateFields => [
+const packUpdate = (update: Update): PackedUpdate => [
 	update.host,
 	update.incarnation,
 	update.revision,
-	standings.indexOf(update.standing) + (update.isDraining ? drainingOffset : 0),
-	update.beat,
+	livenessStates.indexOf(update.liveness) + (update.isDraining ? drainingOffset : 0),
+	update.attributeRevision,
 	update.configurationVersion,
 	Math.round(update.load * loadSteps),
 ];
 
-const getEntryFields = (entry: Entry): EntryFields => [
-	...getUpdateFields(entry), entry.zone, entry.callerAddress, entry.peerAddress, entry.gossipAddress,
+const packEntry = (entry: Entry): PackedEntry => [
+	...packUpdate(entry), entry.zone, entry.callerAddress, entry.peerAddress, entry.gossipAddress,
 ];
 
-const getNoteFields = (note: Note): NoteFields => [
-	noteTopics.indexOf(note.topic), note.key, note.value, note.host, note.sequence, note.duration,
+const packAnnouncement = (announcement: Note): PackedAnnouncement => [
+	noteTopics.indexOf(announcement.topic), announcement.key, announcement.value, announcement.host, announcement.sequence, announcement.duration,
 ];
 
-const getContentFields = (content: Content): ContentFields => {
-	const kind = contentKinds.indexOf(content.kind);
-	switch (content.kind) {
+const packMessage = (message: Message): PackedMessage => {
+	const kind = messageKinds.indexOf(message.kind);
+	switch (message.kind) {
 		case 'ack': {
-			return [kind, content.sequence, content.about];
+			return [kind, message.sequence, message.target];
 		}
 
 		case 'ping-request': {
-			return [kind, content.target];
+			return [kind, message.target];
 		}
 
 		case 'ping':
@@ -53,22 +56,22 @@
 	}
 };
 
-const getUpdate = (fields: UpdateFields): Update => {
-	const [host, incarnation, revision, state, beat, configurationVersion, load] = fields;
-	const standing = standings[state % drainingOffset] ?? 'alive';
+const unpackUpdate = (fields: PackedUpdate): Update => {
+	const [host, incarnation, revision, state, attributeRevision, configurationVersion, load] = fields;
+	const liveness = livenessStates[state % drainingOffset] ?? 'alive';
 	return {
-		host, incarnation, revision, standing, isDraining: state >= drainingOffset, beat, configurationVersion, load: load / loadSteps,
+		host, incarnation, revision, liveness, isDraining: state >= drainingOffset, attributeRevision, configurationVersion, load: load / loadSteps,
 	};
 };
 
-const getEntry = (fields: EntryFields): Entry => {
+const unpackEntry = (fields: PackedEntry): Entry => {
 	const [zone, callerAddress, peerAddress, gossipAddress] = fields.slice(7) as [string, string, string, string];
 	return {
-		...getUpdate(fields.slice(0, 7) as UpdateFields), zone, callerAddress, peerAddress, gossipAddress,
+		...unpackUpdate(fields.slice(0, 7) as PackedUpdate), zone, callerAddress, peerAddress, gossipAddress,
 	};
 };
 
-const getNote = ([topic, key, value, host, sequence, duration]: NoteFields): Note | undefined => {
+const unpackAnnouncement = ([topic, key, value, host, sequence, duration]: PackedAnnouncement): Note | undefined => {
 	const name = noteTopics[topic];
 	return name === undefined
 		? undefined
@@ -77,11 +80,11 @@
 		};
 };
 
-const getContent = ([index, first, second]: ContentFields): Content => {
-	const kind = contentKinds[index] ?? 'gossip';
+const unpackMessage = ([index, first, second]: PackedMessage): Message => {
+	const kind = messageKinds[index] ?? 'gossip';
 	switch (kind) {
 		case 'ack': {
-			return {kind, sequence: Number(first), about: String(second)};
+			return {kind, sequence: Number(first), target: String(second)};
 		}
 
 		case 'ping-request': {
@@ -97,47 +100,47 @@
 	}
 };
 
-/** Encodes a packet. */
+/** Encodes a packet as a msgpack array. */
 export const encodePacket = (packet: Packet): Uint8Array => {
-	const fields: PacketFields = [
-		getUpdateFields(packet.from),
+	const fields: PackedPacket = [
+		packUpdate(packet.from),
 		packet.to,
 		packet.sequence,
-		packet.present,
-		getContentFields(packet.content),
-		packet.updates.map(update => getUpdateFields(update)),
-		packet.entries.map(entry => getEntryFields(entry)),
-		packet.wants,
-		packet.notes.map(note => getNoteFields(note)),
+		packet.presentCount,
+		packMessage(packet.message),
+		packet.updates.map(update => packUpdate(update)),
+		packet.entries.map(entry => packEntry(entry)),
+		packet.entryRequests,
+		packet.announcements.map(announcement => packAnnouncement(announcement)),
 	];
 	return encode(fields);
 };
 
-/** Decodes a packet that has been authenticated; undefined when it isn't one, as from another version. */
+/** Decodes an authenticated packet; returns undefined when it is malformed, for example because a host with another version sent it. */
 export const decodePacket = (bytes: Uint8Array): Packet | undefined => {
 	try {
-		const [from, to, sequence, present, content, updates, entries, wants, notes] = decode(bytes) as PacketFields;
+		const [from, to, sequence, presentCount, message, updates, entries, entryRequests, announcements] = decode(bytes) as PackedPacket;
 		return {
-			from: getUpdate(from),
+			from: unpackUpdate(from),
 			to,
 			sequence,
-			present,
-			content: getContent(content),
-			updates: updates.map(fields => getUpdate(fields)),
-			entries: entries.map(fields => getEntry(fields)),
-			wants,
-			notes: notes.map(fields => getNote(fields)).filter(note => note !== undefined),
+			presentCount,
+			message: unpackMessage(message),
+			updates: updates.map(fields => unpackUpdate(fields)),
+			entries: entries.map(fields => unpackEntry(fields)),
+			entryRequests,
+			announcements: announcements.map(fields => unpackAnnouncement(fields)).filter(announcement => announcement !== undefined),
 		};
 	} catch {
 		return undefined;
 	}
 };
 
-/** Size of an update in a packet, in bytes. */
-export const getUpdateSize = (update: Update): number => encode(getUpdateFields(update)).length;
+/** Returns the encoded size of an update, in bytes. */
+export const getUpdateSize = (update: Update): number => encode(packUpdate(update)).length;
 
-/** Size of an entry in a packet, in bytes. */
-export const getEntrySize = (entry: Entry): number => encode(getEntryFields(entry)).length;
+/** Returns the encoded size of an entry, in bytes. */
+export const getEntrySize = (entry: Entry): number => encode(packEntry(entry)).length;
 
-/** Size of a note in a packet, in bytes. */
-export const getNoteSize = (note: Note): number => encode(getNoteFields(note)).length;
+/** Returns the encoded size of an announcement, in bytes. */
+export const getAnnouncementSize = (announcement: Note): number => encode(packAnnouncement(announcement)).length;
--- a/packages/membership/src/wire/packet.ts
+++ b/packages/membership/src/wire/packet.ts
@@ -1,32 +1,33 @@
 import type {HostId, Note} from '@gentianlift/types';
 import type {Entry, Update} from '../state/entry.js';
 
-/** What a packet asks or answers. */
-export type Content
+/** The protocol message that a packet carries. */
+export type Message
 	= | {kind: 'ping'}
-		/** Answers the ping with that sequence number; `about` is the host that was reached. */
-		| {kind: 'ack'; sequence: number; about: HostId}
-		/** Asks the receiver to ping `target` for the sender. */
+		/** Acknowledges the ping or ping request with that sequence number; `target` is the host that answered the probe. */
+		| {kind: 'ack'; sequence: number; target: HostId}
+		/** Asks the receiver to probe `target` on behalf of the sender (indirect probe). */
 		| {kind: 'ping-request'; target: HostId}
-		/** Asks the receiver for its whole table. */
+		/** Requests the full member table of the receiver. */
 		| {kind: 'join'}
-		/** A page of the table or entries that were asked for: nothing to pass on. */
+		/** A page of the member table, or requested entries; the receiver doesn't disseminate these entries further. */
 		| {kind: 'page'}
+		/** Carries only piggybacked updates. */
 		| {kind: 'gossip'};
 
-/** One datagram between two hosts. */
+/** Content of one datagram between two hosts: a message and the updates piggybacked on it. */
 export type Packet = {
 	/** The sender's own state. */
 	from: Update;
 	to: HostId;
-	/** Rises with each packet of the sender's incarnation. */
+	/** Increases with each packet of the sender's incarnation. */
 	sequence: number;
-	/** Hosts that the sender counts as present. */
-	present: number;
-	content: Content;
+	/** Number of hosts that the sender has as not gone. */
+	presentCount: number;
+	message: Message;
 	updates: Update[];
 	entries: Entry[];
-	/** Hosts whose entries the sender asks for. */
-	wants: HostId[];
-	notes: Note[];
+	/** Hosts whose full entries the sender requests. */
+	entryRequests: HostId[];
+	announcements: Note[];
 };
--- a/packages/membership/src/wire/replay-window.ts
+++ b/packages/membership/src/wire/replay-window.ts
@@ -1,20 +1,20 @@
 import type {HostId, Incarnation} from '@gentianlift/types';
 
-/** Recognises datagrams that came before. */
+/** Detects replayed packets by their sequence numbers. */
 export type ReplayWindow = {
-	/** Whether a datagram is new; each is new once. */
+	/** Records a packet; returns false if it was received before, belongs to an older incarnation or is too old to tell. */
 	accept: (host: HostId, incarnation: Incarnation, sequence: number) => boolean;
 	remove: (host: HostId) => void;
 };
 
-type Seen = {incarnation: Incarnation; highest: number; recent: number[]};
+type SenderState = {incarnation: Incarnation; highest: number; recent: number[]};
 
-/** Datagrams of one sender that may overtake each other. */
+/** Number of packets of one sender within which reordering is tolerated. */
 const windowSize = 32;
 
-/** Creates an empty window. */
+/** Creates a replay window without known senders. */
 export const createReplayWindow = (): ReplayWindow => {
-	const senders = new Map<HostId, Seen>();
+	const senders = new Map<HostId, SenderState>();
 	return {
 		accept(host, incarnation, sequence) {
 			const known = senders.get(host);
@@ -22,15 +22,15 @@
 				return false;
 			}
 
-			const seen = known?.incarnation === incarnation ? known : {incarnation, highest: sequence, recent: []};
+			const state = known?.incarnation === incarnation ? known : {incarnation, highest: sequence, recent: []};
 			const slot = sequence % windowSize;
-			if (seen.recent[slot] === sequence || sequence <= seen.highest - windowSize) {
+			if (state.recent[slot] === sequence || sequence <= state.highest - windowSize) {
 				return false;
 			}
 
-			seen.recent[slot] = sequence;
-			seen.highest = Math.max(seen.highest, sequence);
-			senders.set(host, seen);
+			state.recent[slot] = sequence;
+			state.highest = Math.max(state.highest, sequence);
+			senders.set(host, state);
 			return true;
 		},
 		remove(host) {
