--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -1,14 +1,14 @@
 import {createManualClock, type ManualClock} from '@gentianlift/clock';
 import type {HostState} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {createFleet, getGossipAddress, type Fleet} from './fleet.js';
+import {createTestFleet, getGossipAddress, type TestFleet} from './test-fleet.js';
 import {getSuspicionTimeout} from './protocol/timing.js';
 
 const convergenceTime = 20_000;
 
-const createRunningFleet = async (count: number, seed = 1): Promise<{clock: ManualClock; fleet: Fleet}> => {
+const startFleet = async (count: number, seed = 1): Promise<{clock: ManualClock; fleet: TestFleet}> => {
 	const clock = createManualClock(1_000_000);
-	const fleet = createFleet({clock, seed});
+	const fleet = createTestFleet({clock, seed});
 	for (let index = 0; index < count; index++) {
 		// eslint-disable-next-line no-await-in-loop -- Hosts start one after another.
 		await fleet.start(`h${index}`);
@@ -18,22 +18,22 @@
 	return {clock, fleet};
 };
 
-const getObservedStates = (fleet: Fleet, host: string): Array<HostState | undefined> =>
-	fleet.getRunning().filter(viewer => viewer !== host).map(viewer => fleet.getState(viewer, host));
+const getObservedStates = (fleet: TestFleet, host: string): Array<HostState | undefined> =>
+	fleet.getRunningHosts().filter(viewer => viewer !== host).map(viewer => fleet.getState(viewer, host));
 
-const expectAllInState = (fleet: Fleet, state: HostState): void => {
-	for (const host of fleet.getRunning()) {
+const expectAllInState = (fleet: TestFleet, state: HostState): void => {
+	for (const host of fleet.getRunningHosts()) {
 		expect(new Set(getObservedStates(fleet, host)), host).toEqual(new Set([state]));
 	}
 };
 
 test('all hosts find each other', async () => {
-	const {fleet} = await createRunningFleet(7);
+	const {fleet} = await startFleet(7);
 	expectAllInState(fleet, 'alive');
 });
 
 test('a killed host is seen as gone by all hosts within 10 s', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	fleet.kill('h3');
 	await clock.advance(10_000);
 	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
@@ -41,49 +41,49 @@
 });
 
 test('a host that stops is seen as gone within 2 s', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
-	fleet.get('h3').stop();
+	const {clock, fleet} = await startFleet(7);
+	fleet.getMembership('h3').stop();
 	await clock.advance(2000);
 	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
 });
 
 test('a new process of a host is not mistaken for the old one', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
-	const before = fleet.get('h0').getMembers().find(({host}) => host === 'h3');
+	const {clock, fleet} = await startFleet(7);
+	const before = fleet.getMembership('h0').getMembers().find(({host}) => host === 'h3');
 	fleet.kill('h3');
 	await fleet.start('h3');
 	await clock.advance(5000);
 	expectAllInState(fleet, 'alive');
-	const after = fleet.get('h0').getMembers().find(({host}) => host === 'h3');
+	const after = fleet.getMembership('h0').getMembers().find(({host}) => host === 'h3');
 	expect(after?.incarnation).toBeGreaterThan(before?.incarnation ?? 0);
 });
 
 test('draining and its end reach all hosts', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
-	fleet.get('h3').setDraining(true);
+	const {clock, fleet} = await startFleet(7);
+	fleet.getMembership('h3').setDraining(true);
 	await clock.advance(2000);
 	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['draining']));
-	fleet.get('h3').setDraining(false);
+	fleet.getMembership('h3').setDraining(false);
 	await clock.advance(2000);
 	expectAllInState(fleet, 'alive');
 });
 
 test('a host that receives nothing is declared gone, and itself declares no host gone within 10 s', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	fleet.network.setPartition((_from, to) => to === getGossipAddress('h3'));
 	await clock.advance(10_000);
 	expect(new Set(getObservedStates(fleet, 'h3'))).toEqual(new Set(['gone']));
-	expect(fleet.get('h3').getMembers().filter(({state}) => state === 'gone')).toEqual([]);
+	expect(fleet.getMembership('h3').getMembers().filter(({state}) => state === 'gone')).toEqual([]);
 	fleet.network.setPartition(() => false);
 	await clock.advance(15_000);
 	expectAllInState(fleet, 'alive');
 });
 
 test('a one-way loss between two hosts changes no state', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	const observedStates = new Set<HostState>();
-	for (const host of fleet.getRunning()) {
-		fleet.get(host).onChange(({after}) => {
+	for (const host of fleet.getRunningHosts()) {
+		fleet.getMembership(host).onChange(({after}) => {
 			observedStates.add(after.state);
 		});
 	}
@@ -94,10 +94,10 @@
 });
 
 test('with a tenth of all datagrams lost, no host is declared gone', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	const observedStates = new Set<HostState>();
-	for (const host of fleet.getRunning()) {
-		fleet.get(host).onChange(({after}) => {
+	for (const host of fleet.getRunningHosts()) {
+		fleet.getMembership(host).onChange(({after}) => {
 			observedStates.add(after.state);
 		});
 	}
@@ -108,7 +108,7 @@
 });
 
 test('the halves of a partitioned fleet merge again', async () => {
-	const {clock, fleet} = await createRunningFleet(8);
+	const {clock, fleet} = await startFleet(8);
 	const isInFirstHalf = (address: string): boolean => Number(address.slice(1, 2)) < 4;
 	fleet.network.setPartition((from, to) => isInFirstHalf(from) !== isInFirstHalf(to));
 	await clock.advance(600_000);
@@ -119,7 +119,7 @@
 });
 
 test('the hosts of a lost zone are gone, and the others stay alive', async () => {
-	const {clock, fleet} = await createRunningFleet(9);
+	const {clock, fleet} = await startFleet(9);
 	for (const host of ['h2', 'h5', 'h8']) {
 		fleet.kill(host);
 	}
@@ -130,9 +130,9 @@
 });
 
 test('a host paused for 12 s declares no host gone, and rejoins', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	const observedStates = new Set<HostState>();
-	fleet.get('h3').onChange(({after}) => {
+	fleet.getMembership('h3').onChange(({after}) => {
 		observedStates.add(after.state);
 	});
 	fleet.setPaused('h3', true);
@@ -145,9 +145,9 @@
 });
 
 test('a host with a late event loop suspects no host whose acknowledgement it has not read yet', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
+	const {clock, fleet} = await startFleet(7);
 	const observedStates = new Set<HostState>();
-	fleet.get('h3').onChange(({after}) => {
+	fleet.getMembership('h3').onChange(({after}) => {
 		observedStates.add(after.state);
 	});
 	for (let round = 0; round < 40; round++) {
@@ -163,31 +163,31 @@
 });
 
 test('a configuration version reaches all hosts within 2 s', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
-	fleet.get('h4').setConfigurationVersion(9);
+	const {clock, fleet} = await startFleet(7);
+	fleet.getMembership('h4').setConfigurationVersion(9);
 	await clock.advance(2000);
-	const versions = fleet.getRunning().map(viewer => fleet.get(viewer).getMembers().find(({host}) => host === 'h4')?.configurationVersion);
+	const versions = fleet.getRunningHosts().map(viewer => fleet.getMembership(viewer).getMembers().find(({host}) => host === 'h4')?.configurationVersion);
 	expect(new Set(versions)).toEqual(new Set([9]));
 });
 
 test('an announcement reaches all hosts, including one that joins later, and expires', async () => {
-	const {clock, fleet} = await createRunningFleet(7);
-	fleet.get('h4').publishNote({
+	const {clock, fleet} = await startFleet(7);
+	fleet.getMembership('h4').publishNote({
 		topic: 'upstream-failed', key: 'e1', value: 'reset', duration: 20_000,
 	});
 	await clock.advance(2000);
 	await fleet.start('h7');
 	await clock.advance(3000);
-	for (const host of fleet.getRunning()) {
-		expect(fleet.get(host).getNotes('upstream-failed'), host).toMatchObject([{key: 'e1', value: 'reset', host: 'h4'}]);
+	for (const host of fleet.getRunningHosts()) {
+		expect(fleet.getMembership(host).getNotes('upstream-failed'), host).toMatchObject([{key: 'e1', value: 'reset', host: 'h4'}]);
 	}
 
 	await clock.advance(20_000);
-	expect(fleet.get('h0').getNotes('upstream-failed')).toEqual([]);
+	expect(fleet.getMembership('h0').getNotes('upstream-failed')).toEqual([]);
 });
 
 test('replayed, corrupted and too short datagrams are counted and dropped', async () => {
-	const {clock, fleet} = await createRunningFleet(3);
+	const {clock, fleet} = await startFleet(3);
 	const datagrams: Uint8Array[] = [];
 	fleet.network.onSend((_from, to, bytes) => {
 		if (to === getGossipAddress('h0')) {
@@ -208,7 +208,7 @@
 
 test('hosts with rotated keys accept each other, and not a host with another key', async () => {
 	const clock = createManualClock(1_000_000);
-	const fleet = createFleet({clock, seed: 1, keys: {h0: ['old', 'new'], h1: ['new', 'old'], h2: ['stranger']}});
+	const fleet = createTestFleet({clock, seed: 1, keys: {h0: ['old', 'new'], h1: ['new', 'old'], h2: ['stranger']}});
 	for (const host of ['h0', 'h1', 'h2']) {
 		// eslint-disable-next-line no-await-in-loop -- Hosts start one after another.
 		await fleet.start(host);
@@ -221,7 +221,7 @@
 });
 
 test('a host that the host list has as leaving is draining until its next process', async () => {
-	const {clock, fleet} = await createRunningFleet(3);
+	const {clock, fleet} = await startFleet(3);
 	await clock.advance(60_000);
 	fleet.listedHosts.push({
 		id: 'h2', kind: 'entry', address: 'h2:80', zone: 'z2', state: 'leaving',
@@ -240,7 +240,7 @@
 
 test('datagram sizes are bounded, and the traffic of a host hardly grows with the fleet', async () => {
 	const measureTraffic = async (count: number): Promise<{largest: number; bytesPerSecond: number}> => {
-		const {clock, fleet} = await createRunningFleet(count);
+		const {clock, fleet} = await startFleet(count);
 		let [largest, bytes] = [0, 0];
 		await clock.advance(30_000);
 		fleet.network.onSend((_from, _to, datagram) => {
--- a/packages/membership/src/protocol/disseminator.ts
+++ b/packages/membership/src/protocol/disseminator.ts
@@ -34,16 +34,16 @@
 
 	const getTargets = (count: number): Target[] => {
 		const {host: self} = view.getSelf();
-		const others = view.table.getPresent().filter(({host}) => host !== self);
+		const others = view.table.getPresentEntries().filter(({host}) => host !== self);
 		return shuffle(others, random).slice(0, count);
 	};
 
-	const hasUrgent = (): boolean => [view.entryQueue, view.updateQueue, view.announcementQueue].some(queue => queue.hasUrgent(urgentTransmissions));
+	const hasUrgentFact = (): boolean => [view.entryQueue, view.updateQueue, view.announcementQueue].some(queue => queue.hasUrgentFact(urgentTransmissions));
 
 	return {
 		sendUrgentGossip() {
 			tokens = Math.min(gossipBurst, tokens + (gossipPerSecond * gossipInterval / millisecondsPerSecond));
-			if (tokens < gossipFanOut || !hasUrgent()) {
+			if (tokens < gossipFanOut || !hasUrgentFact()) {
 				return;
 			}
 
@@ -64,7 +64,7 @@
 
 			tableTransfers.add(target.host);
 			const announcements = view.announcements.getKeys().map(key => view.announcements.get(key)).filter(announcement => announcement !== undefined);
-			const pages = createPages(view.table.getPresent(), announcements);
+			const pages = createPages(view.table.getPresentEntries(), announcements);
 			for (const [index, page] of pages.entries()) {
 				clock.after(index * pageInterval, () => {
 					packetSender.send(target, {kind: 'page'}, page);
--- a/packages/membership/src/protocol/host-discovery.ts
+++ b/packages/membership/src/protocol/host-discovery.ts
@@ -28,7 +28,7 @@
 	return {
 		joinFleet() {
 			const target = random.pick(getAbsentHosts());
-			if (target !== undefined && view.table.getPresent().length === 1) {
+			if (target !== undefined && view.table.getPresentEntries().length === 1) {
 				disseminator.requestTable(target);
 			}
 		},
--- a/packages/membership/src/protocol/packet-sender.ts
+++ b/packages/membership/src/protocol/packet-sender.ts
@@ -35,7 +35,7 @@
 			sequence++;
 			const piggyback = addClaim(piggybackOverride ?? takePiggyback(view, view.entryRequests), target.host);
 			const body = encodePacket({
-				from: view.getSelf(), to: target.host, sequence, presentCount: view.table.getPresent().length, message, ...piggyback,
+				from: view.getSelf(), to: target.host, sequence, presentCount: view.table.getPresentEntries().length, message, ...piggyback,
 			});
 			const datagram = signer.sign(body);
 			metrics.count('membership_messages_sent', {kind: message.kind});
--- a/packages/membership/src/protocol/piggyback.ts
+++ b/packages/membership/src/protocol/piggyback.ts
@@ -71,7 +71,7 @@
 /** Takes queued facts that fit into one packet, and fills the remaining space with updates from the member table (anti-entropy). */
 export const takePiggyback = (state: DisseminationState, entryRequests: Set<HostId>): Piggyback => {
 	const {table, announcements, entryQueue, updateQueue, announcementQueue} = state;
-	const limit = getTransmissionLimit(table.getPresent().length);
+	const limit = getTransmissionLimit(table.getPresentEntries().length);
 	const getItem = (host: HostId): Entry | undefined => table.get(host);
 	const updates = takeItems<Update>(updateQueue, {
 		availableBytes: maxDatagramBytes - reservedBytes, limit, getItem, getSize: getUpdateSize,
--- a/packages/membership/src/protocol/prober.ts
+++ b/packages/membership/src/protocol/prober.ts
@@ -34,7 +34,7 @@
 	let cancelIndirectProbes: Cancel | undefined;
 	let lastContactAt: Milliseconds = clock.monotonic();
 
-	const getOtherHosts = (): HostId[] => view.table.getPresent().map(({host}) => host).filter(host => host !== view.getSelf().host);
+	const getOtherHosts = (): HostId[] => view.table.getPresentEntries().map(({host}) => host).filter(host => host !== view.getSelf().host);
 
 	const probeIndirectly = (current: Probe): void => {
 		if (current.isAnswered) {
--- a/packages/membership/src/protocol/receiver.ts
+++ b/packages/membership/src/protocol/receiver.ts
@@ -39,7 +39,7 @@
 	const replayWindow = createReplayWindow();
 	const {host: self} = view.getSelf();
 
-	const openPacket = (datagram: Uint8Array): Packet | DropReason => {
+	const authenticatePacket = (datagram: Uint8Array): Packet | DropReason => {
 		const body = signer.verify(datagram);
 		if (body === undefined) {
 			return 'signature';
@@ -109,7 +109,7 @@
 	return {
 		receive(datagram) {
 			metrics.count('membership_bytes_received', {}, datagram.length + datagramOverheadBytes);
-			const packet = openPacket(datagram);
+			const packet = authenticatePacket(datagram);
 			if (typeof packet === 'string') {
 				metrics.count('membership_messages_dropped', {reason: packet});
 				return;
@@ -128,7 +128,7 @@
 				packetSender.send(sender, {kind: 'gossip'});
 			}
 
-			if (packet.presentCount > (view.table.getPresent().length * tableRequestRatio) + 1) {
+			if (packet.presentCount > (view.table.getPresentEntries().length * tableRequestRatio) + 1) {
 				disseminator.requestTable(sender);
 			}
 		},
--- a/packages/membership/src/protocol/view.ts
+++ b/packages/membership/src/protocol/view.ts
@@ -86,7 +86,7 @@
 			}
 
 			case 'suspected': {
-				suspicions.start(host, clock.monotonic(), getSuspicionTimeout(table.getPresent().length));
+				suspicions.start(host, clock.monotonic(), getSuspicionTimeout(table.getPresentEntries().length));
 				break;
 			}
 
--- a/packages/membership/src/schedules.test.ts
+++ b/packages/membership/src/schedules.test.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {createFleet, getGossipAddress, type Fleet} from './fleet.js';
+import {createTestFleet, getGossipAddress, type TestFleet} from './test-fleet.js';
 import {getEligibleHosts, getOwner} from './ownership.js';
 
 type Step
@@ -11,7 +11,7 @@
 		| {kind: 'lose'; lossRate: number}
 		| {kind: 'heal'};
 
-type HostStep = 'start' | 'kill' | 'stop' | 'drain' | 'undrain' | 'pause' | 'resume';
+type HostAction = 'start' | 'kill' | 'stop' | 'drain' | 'undrain' | 'pause' | 'resume';
 
 const hostCount = 5;
 const maxConvergenceTime: Milliseconds = 15_000;
@@ -30,15 +30,15 @@
 
 const getHostIndex = (address: string): number => Number(address.slice(1, address.indexOf(':')));
 
-const heal = (fleet: Fleet): void => {
+const heal = (fleet: TestFleet): void => {
 	fleet.network.setPartition(() => false);
 	fleet.network.setLossRate(0);
-	for (const name of fleet.getRunning()) {
+	for (const name of fleet.getRunningHosts()) {
 		fleet.setPaused(name, false);
 	}
 };
 
-const applyStep = async (fleet: Fleet, step: Step): Promise<void> => {
+const applyStep = async (fleet: TestFleet, step: Step): Promise<void> => {
 	const {network} = fleet;
 	switch (step.kind) {
 		case 'split': {
@@ -73,13 +73,13 @@
 		case 'undrain':
 		case 'pause':
 		case 'resume': {
-			await applyHostStep(fleet, step.kind, `h${step.host}`);
+			await applyHostAction(fleet, step.kind, `h${step.host}`);
 		}
 	}
 };
 
-const applyHostStep = async (fleet: Fleet, kind: HostStep, name: string): Promise<void> => {
-	const isRunning = fleet.getRunning().includes(name);
+const applyHostAction = async (fleet: TestFleet, kind: HostAction, name: string): Promise<void> => {
+	const isRunning = fleet.getRunningHosts().includes(name);
 	if (!isRunning) {
 		await (kind === 'start' ? fleet.start(name) : undefined);
 		return;
@@ -96,14 +96,14 @@
 		}
 
 		case 'stop': {
-			fleet.get(name).stop();
+			fleet.getMembership(name).stop();
 			fleet.kill(name);
 			break;
 		}
 
 		case 'drain':
 		case 'undrain': {
-			fleet.get(name).setDraining(kind === 'drain');
+			fleet.getMembership(name).setDraining(kind === 'drain');
 			break;
 		}
 
@@ -116,18 +116,18 @@
 };
 
 /** Returns the owner of a key in the view of a host. */
-const getOwnerAt = (fleet: Fleet, viewer: string, key: string): string | undefined =>
-	getOwner(key, getEligibleHosts(fleet.get(viewer).getMembers()));
+const getOwnerAt = (fleet: TestFleet, viewer: string, key: string): string | undefined =>
+	getOwner(key, getEligibleHosts(fleet.getMembership(viewer).getMembers()));
 
-const getSummary = (fleet: Fleet, viewer: string): string => {
-	const members = fleet.get(viewer).getMembers().filter(({state}) => state !== 'gone');
+const getSummary = (fleet: TestFleet, viewer: string): string => {
+	const members = fleet.getMembership(viewer).getMembers().filter(({state}) => state !== 'gone');
 	return members.map(member => `${member.host} ${member.incarnation} ${member.state}`).toSorted().join(', ');
 };
 
 test('after a random schedule of faults and a settling time, all views agree and contain exactly the running hosts', async () => {
 	await fc.assert(fc.asyncProperty(scheduleArbitrary, fc.integer(), async (steps, seed) => {
 		const clock = createManualClock(1_000_000);
-		const fleet = createFleet({clock, seed});
+		const fleet = createTestFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
 		for (const {step, wait} of steps) {
@@ -139,11 +139,11 @@
 
 		heal(fleet);
 		await clock.advance(settleTime);
-		const running = fleet.getRunning();
+		const running = fleet.getRunningHosts();
 		const views = new Set(running.map(viewer => getSummary(fleet, viewer)));
 		expect(views.size).toBeLessThanOrEqual(1);
 		for (const viewer of running) {
-			const present = fleet.get(viewer).getMembers().filter(({state}) => state !== 'gone').map(({host: name}) => name);
+			const present = fleet.getMembership(viewer).getMembers().filter(({state}) => state !== 'gone').map(({host: name}) => name);
 			expect(present.toSorted()).toEqual(running.toSorted());
 		}
 	}), {seed: 7, numRuns: 60});
@@ -152,7 +152,7 @@
 test('after hosts are killed, every key has one running owner within the convergence time', async () => {
 	await fc.assert(fc.asyncProperty(fc.subarray(hosts, {minLength: 1, maxLength: 3}), fc.integer(), async (killedHosts, seed) => {
 		const clock = createManualClock(1_000_000);
-		const fleet = createFleet({clock, seed});
+		const fleet = createTestFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
 		for (const name of killedHosts) {
@@ -160,7 +160,7 @@
 		}
 
 		await clock.advance(maxConvergenceTime);
-		const running = fleet.getRunning();
+		const running = fleet.getRunningHosts();
 		for (const key of keys) {
 			const owners = new Set(running.map(viewer => getOwnerAt(fleet, viewer, key)));
 			expect(owners.size).toBe(1);
--- a/packages/membership/src/state/dissemination-queue.ts
+++ b/packages/membership/src/state/dissemination-queue.ts
@@ -8,7 +8,7 @@
 	/** Records that a fact was put into a packet; removes the fact after `limit` transmissions. */
 	recordTransmission: (key: string, limit: number) => void;
 	/** Returns whether an urgent fact has been transmitted fewer than `limit` times. */
-	hasUrgent: (limit: number) => boolean;
+	hasUrgentFact: (limit: number) => boolean;
 };
 
 type QueuedFact = {transmissions: number; isUrgent: boolean};
@@ -36,6 +36,6 @@
 				facts.delete(key);
 			}
 		},
-		hasUrgent: limit => [...facts.values()].some(fact => fact.isUrgent && fact.transmissions < limit),
+		hasUrgentFact: limit => [...facts.values()].some(fact => fact.isUrgent && fact.transmissions < limit),
 	};
 };
--- a/packages/membership/src/state/member-table.ts
+++ b/packages/membership/src/state/member-table.ts
@@ -12,7 +12,7 @@
 	get: (host: HostId) => Entry | undefined;
 	getAll: () => Entry[];
 	/** Returns the entries of hosts that aren't gone. */
-	getPresent: () => Entry[];
+	getPresentEntries: () => Entry[];
 	applyUpdate: (update: Update) => MergeResult;
 	applyEntry: (entry: Entry) => MergeResult;
 	remove: (host: HostId) => void;
@@ -55,7 +55,7 @@
 	return {
 		get: host => entries.get(host),
 		getAll: () => [...entries.values()],
-		getPresent: () => [...entries.values()].filter(entry => entry.liveness !== 'gone'),
+		getPresentEntries: () => [...entries.values()].filter(entry => entry.liveness !== 'gone'),
 		applyUpdate,
 		applyEntry(entry) {
 			const known = entries.get(entry.host);
--- a/packages/membership/src/fleet.ts
+++ b/packages/membership/src/test-fleet.ts
@@ -8,18 +8,18 @@
 import {createMemoryNetwork, type MemoryNetwork} from './transport/memory-network.js';
 
 /** Hosts in one process that communicate over an in-memory network, for tests. */
-export type Fleet = {
+export type TestFleet = {
 	network: MemoryNetwork;
 	/** Starts a host, or a new process of a host that ran before. */
 	start: (host: HostId) => Promise<Membership>;
-	get: (host: HostId) => Membership;
+	getMembership: (host: HostId) => Membership;
 	getMetrics: (host: HostId) => Metrics;
 	/** Terminates the process of a host without notifying the other hosts. */
 	kill: (host: HostId) => void;
 	/** Pauses or resumes the process of a host, as SIGSTOP and SIGCONT do: timers and datagrams are queued while it is paused. */
 	setPaused: (host: HostId, isPaused: boolean) => void;
 	/** Returns the hosts whose process is running. */
-	getRunning: () => HostId[];
+	getRunningHosts: () => HostId[];
 	/** Returns the state of a host as seen by `viewer`; undefined if `viewer` doesn't know it. */
 	getState: (viewer: HostId, host: HostId) => HostState | undefined;
 	/** Entries that the host list returns. */
@@ -27,7 +27,7 @@
 };
 
 /** Options of a fleet. */
-export type FleetOptions = {
+export type TestFleetOptions = {
 	clock: ManualClock;
 	seed: number;
 	/** Signing keys by host; a host without an entry uses a key that is common to all such hosts. */
@@ -102,7 +102,7 @@
 export const getGossipAddress = (host: HostId): string => `${host}:7000`;
 
 /** Creates a fleet without hosts; its seeds are `h0` and `h1`. */
-export const createFleet = ({clock, seed, keys = {}, zones = defaultZones}: FleetOptions): Fleet => {
+export const createTestFleet = ({clock, seed, keys = {}, zones = defaultZones}: TestFleetOptions): TestFleet => {
 	const random = createRandom(seed);
 	const network = createMemoryNetwork(clock, random);
 	const running = new Map<HostId, RunningHost>();
@@ -144,7 +144,7 @@
 			running.set(host, {membership, metrics, pauseGate});
 			return membership;
 		},
-		get: host => getRunningHost(host).membership,
+		getMembership: host => getRunningHost(host).membership,
 		getMetrics: host => getRunningHost(host).metrics,
 		kill(host) {
 			const {membership} = getRunningHost(host);
@@ -155,7 +155,7 @@
 		setPaused(host, isPaused) {
 			getRunningHost(host).pauseGate.setPaused(isPaused);
 		},
-		getRunning: () => [...running.keys()],
+		getRunningHosts: () => [...running.keys()],
 		getState: (viewer, host) => getRunningHost(viewer).membership.getMembers().find(member => member.host === host)?.state,
 	};
 };
