--- a/packages/membership/src/protocol/host-discovery.ts
+++ b/packages/membership/src/protocol/host-discovery.ts
@@ -4,7 +4,7 @@
 import type {Disseminator} from './disseminator.js';
 import type {View} from './view.js';
 
-/** Contacts hosts that are gone or unknown. */
+/** Contacts hosts that are gone or unknown, to join the fleet and to merge its parts after a network partition. */
 export type HostDiscovery = {
 	/** Requests the table of a seed or a formerly known host, unless this host knows any host that isn't gone. */
 	joinFleet: () => void;
--- a/packages/membership/src/protocol/piggyback.ts
+++ b/packages/membership/src/protocol/piggyback.ts
@@ -16,9 +16,9 @@
 export type DisseminationState = {
 	table: MemberTable;
 	announcements: AnnouncementStore;
-	/** Hosts whose full entry is new. */
+	/** Hosts with a new incarnation, whose full entry is transmitted. */
 	entryQueue: DisseminationQueue;
-	/** Hosts whose state changed within an incarnation. */
+	/** Hosts whose state changed within their incarnation, of which only the update is transmitted. */
 	updateQueue: DisseminationQueue;
 	announcementQueue: DisseminationQueue;
 };
--- a/packages/membership/src/protocol/prober.ts
+++ b/packages/membership/src/protocol/prober.ts
@@ -11,7 +11,7 @@
 export type Prober = {
 	/** Finishes the current probe, suspecting its target unless it was acknowledged, and starts the next one. */
 	startNextProbe: () => void;
-	/** Abandons the current probe without a verdict, because this process was paused. */
+	/** Abandons the current probe without suspecting its target; used when this process was paused and may not have read the acknowledgement. */
 	abandonProbe: () => void;
 	/** Records the acknowledgement of a probe, and forwards it if the probe was made on behalf of another host. */
 	receiveAck: (sequence: number, target: HostId) => void;
--- a/packages/membership/src/protocol/protocol-period.ts
+++ b/packages/membership/src/protocol/protocol-period.ts
@@ -10,6 +10,7 @@
 export type ProtocolPeriod = {
 	/** Sets the start of the first period to now. */
 	reset: () => void;
+	/** Runs one period; has to be called once per `probeInterval`. */
 	run: () => void;
 };
 
