--- a/packages/membership/src/schedules.test.ts
+++ b/packages/membership/src/schedules.test.ts
@@ -2,52 +2,52 @@
 import type {Milliseconds} from '@gentianlift/types';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import {createFleet, getGossipAddress, type Fleet} from './fleet.js';
+import {createTestFleet, getGossipAddress, type TestFleet} from './test-fleet.js';
 import {getEligibleHosts, getOwner} from './ownership.js';
 
 type Step
 	= | {kind: 'kill' | 'start' | 'stop' | 'drain' | 'undrain' | 'deafen' | 'mute' | 'pause' | 'resume'; host: number}
 		| {kind: 'split'; at: number}
-		| {kind: 'lose'; share: number}
+		| {kind: 'lose'; lossRate: number}
 		| {kind: 'heal'};
 
-type HostStep = 'start' | 'kill' | 'stop' | 'drain' | 'undrain' | 'pause' | 'resume';
+type HostAction = 'start' | 'kill' | 'stop' | 'drain' | 'undrain' | 'pause' | 'resume';
 
 const hostCount = 5;
-const longestGap: Milliseconds = 15_000;
-const quiet: Milliseconds = 60_000;
+const maxConvergenceTime: Milliseconds = 15_000;
+const settleTime: Milliseconds = 60_000;
 const hosts = Array.from({length: hostCount}, (_, index) => `h${index}`);
 const keys = Array.from({length: 20}, (_, index) => `key-${index}`);
 
-const host = fc.integer({min: 0, max: hostCount - 1});
-const step: fc.Arbitrary<Step> = fc.oneof(
-	fc.record({kind: fc.constantFrom('kill', 'start', 'stop', 'drain', 'undrain', 'deafen', 'mute', 'pause', 'resume'), host}),
+const hostIndex = fc.integer({min: 0, max: hostCount - 1});
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
+	fc.record({kind: fc.constantFrom('kill', 'start', 'stop', 'drain', 'undrain', 'deafen', 'mute', 'pause', 'resume'), host: hostIndex}),
 	fc.record({kind: fc.constant('split'), at: fc.integer({min: 1, max: hostCount - 1})}),
-	fc.record({kind: fc.constant('lose'), share: fc.double({min: 0, max: 0.3, noNaN: true})}),
+	fc.record({kind: fc.constant('lose'), lossRate: fc.double({min: 0, max: 0.3, noNaN: true})}),
 	fc.record({kind: fc.constant('heal')}),
 );
-const schedule = fc.array(fc.record({step, wait: fc.integer({min: 0, max: 12_000})}), {minLength: 1, maxLength: 8});
+const scheduleArbitrary = fc.array(fc.record({step: stepArbitrary, wait: fc.integer({min: 0, max: 12_000})}), {minLength: 1, maxLength: 8});
 
-const getNumber = (address: string): number => Number(address.slice(1, address.indexOf(':')));
+const getHostIndex = (address: string): number => Number(address.slice(1, address.indexOf(':')));
 
-const heal = (fleet: Fleet): void => {
-	fleet.network.setCut(() => false);
-	fleet.network.setLoss(0);
-	for (const name of fleet.getRunning()) {
+const heal = (fleet: TestFleet): void => {
+	fleet.network.setPartition(() => false);
+	fleet.network.setLossRate(0);
+	for (const name of fleet.getRunningHosts()) {
 		fleet.setPaused(name, false);
 	}
 };
 
-const applyStep = async (fleet: Fleet, wanted: Step): Promise<void> => {
+const applyStep = async (fleet: TestFleet, step: Step): Promise<void> => {
 	const {network} = fleet;
-	switch (wanted.kind) {
+	switch (step.kind) {
 		case 'split': {
-			network.setCut((from, to) => (getNumber(from) < wanted.at) !== (getNumber(to) < wanted.at));
+			network.setPartition((from, to) => (getHostIndex(from) < step.at) !== (getHostIndex(to) < step.at));
 			break;
 		}
 
 		case 'lose': {
-			network.setLoss(wanted.share);
+			network.setLossRate(step.lossRate);
 			break;
 		}
 
@@ -57,12 +57,12 @@
 		}
 
 		case 'deafen': {
-			network.setCut((_from, to) => to === getGossipAddress(`h${wanted.host}`));
+			network.setPartition((_from, to) => to === getGossipAddress(`h${step.host}`));
 			break;
 		}
 
 		case 'mute': {
-			network.setCut(from => from === getGossipAddress(`h${wanted.host}`));
+			network.setPartition(from => from === getGossipAddress(`h${step.host}`));
 			break;
 		}
 
@@ -73,13 +73,13 @@
 		case 'undrain':
 		case 'pause':
 		case 'resume': {
-			await applyHostStep(fleet, wanted.kind, `h${wanted.host}`);
+			await applyHostAction(fleet, step.kind, `h${step.host}`);
 		}
 	}
 };
 
-const applyHostStep = async (fleet: Fleet, kind: HostStep, name: string): Promise<void> => {
-	const isRunning = fleet.getRunning().includes(name);
+const applyHostAction = async (fleet: TestFleet, kind: HostAction, name: string): Promise<void> => {
+	const isRunning = fleet.getRunningHosts().includes(name);
 	if (!isRunning) {
 		await (kind === 'start' ? fleet.start(name) : undefined);
 		return;
@@ -96,14 +96,14 @@
 		}
 
 		case 'stop': {
-			fleet.get(name).stop();
+			fleet.getMembership(name).stop();
 			fleet.kill(name);
 			break;
 		}
 
 		case 'drain':
 		case 'undrain': {
-			fleet.get(name).setDraining(kind === 'drain');
+			fleet.getMembership(name).setDraining(kind === 'drain');
 			break;
 		}
 
@@ -115,52 +115,52 @@
 	}
 };
 
-/** Owner of a key in the view of a host. */
-const getOwnerAt = (fleet: Fleet, viewer: string, key: string): string | undefined =>
-	getOwner(key, getEligibleHosts(fleet.get(viewer).getMembers()));
+/** Returns the owner of a key in the view of a host. */
+const getOwnerAt = (fleet: TestFleet, viewer: string, key: string): string | undefined =>
+	getOwner(key, getEligibleHosts(fleet.getMembership(viewer).getMembers()));
 
-const getSummary = (fleet: Fleet, viewer: string): string => {
-	const members = fleet.get(viewer).getMembers().filter(({state}) => state !== 'gone');
+const getSummary = (fleet: TestFleet, viewer: string): string => {
+	const members = fleet.getMembership(viewer).getMembers().filter(({state}) => state !== 'gone');
 	return members.map(member => `${member.host} ${member.incarnation} ${member.state}`).toSorted().join(', ');
 };
 
-test('after quiet all views agree and nobody alive is gone', async () => {
-	await fc.assert(fc.asyncProperty(schedule, fc.integer(), async (steps, seed) => {
+test('after a random schedule of faults and a settling time, all views agree and contain exactly the running hosts', async () => {
+	await fc.assert(fc.asyncProperty(scheduleArbitrary, fc.integer(), async (steps, seed) => {
 		const clock = createManualClock(1_000_000);
-		const fleet = createFleet({clock, seed});
+		const fleet = createTestFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
-		for (const {step: wanted, wait} of steps) {
+		for (const {step, wait} of steps) {
 			// eslint-disable-next-line no-await-in-loop -- Steps follow each other.
-			await applyStep(fleet, wanted);
+			await applyStep(fleet, step);
 			// eslint-disable-next-line no-await-in-loop -- Steps follow each other.
 			await clock.advance(wait);
 		}
 
 		heal(fleet);
-		await clock.advance(quiet);
-		const running = fleet.getRunning();
+		await clock.advance(settleTime);
+		const running = fleet.getRunningHosts();
 		const views = new Set(running.map(viewer => getSummary(fleet, viewer)));
 		expect(views.size).toBeLessThanOrEqual(1);
 		for (const viewer of running) {
-			const present = fleet.get(viewer).getMembers().filter(({state}) => state !== 'gone').map(({host: name}) => name);
+			const present = fleet.getMembership(viewer).getMembers().filter(({state}) => state !== 'gone').map(({host: name}) => name);
 			expect(present.toSorted()).toEqual(running.toSorted());
 		}
 	}), {seed: 7, numRuns: 60});
 });
 
-test('no key is without a running owner for longer than stated', async () => {
-	await fc.assert(fc.asyncProperty(fc.subarray(hosts, {minLength: 1, maxLength: 3}), fc.integer(), async (lost, seed) => {
+test('after hosts are killed, every key has one running owner within the convergence time', async () => {
+	await fc.assert(fc.asyncProperty(fc.subarray(hosts, {minLength: 1, maxLength: 3}), fc.integer(), async (killedHosts, seed) => {
 		const clock = createManualClock(1_000_000);
-		const fleet = createFleet({clock, seed});
+		const fleet = createTestFleet({clock, seed});
 		await Promise.all(hosts.map(async name => fleet.start(name)));
 		await clock.advance(10_000);
-		for (const name of lost) {
+		for (const name of killedHosts) {
 			fleet.kill(name);
 		}
 
-		await clock.advance(longestGap);
-		const running = fleet.getRunning();
+		await clock.advance(maxConvergenceTime);
+		const running = fleet.getRunningHosts();
 		for (const key of keys) {
 			const owners = new Set(running.map(viewer => getOwnerAt(fleet, viewer, key)));
 			expect(owners.size).toBe(1);
