--- a/packages/upstream/src/outcome.ts
+++ b/packages/upstream/src/call-failure.ts
@@ -1,21 +1,21 @@
 import type {Milliseconds, RunState} from '@gentianlift/types';
 import type {ExchangeFailure} from './wire/exchange.js';
 
-/** Why an upstream refused a request without running it. */
+/** Codes with which an upstream refuses a request without executing it. */
 export const refusalCodes = ['busy', 'leaving', 'model-not-loaded', 'other'] as const;
 /** One of `refusalCodes`. */
 export type RefusalCode = typeof refusalCodes[number];
 
-/** The upstream refused and says that the request did not run. */
+/** The upstream refused the request and states that it has not executed it. */
 export type Refusal = {kind: 'refused'; code: RefusalCode; retryAfter?: Milliseconds};
 
-/** The upstream answered with an error; whether the request ran depends on the status. */
-export type Failure = {kind: 'failed'; status: number; text: string; contentType?: string};
+/** The upstream responded with an error; whether it executed the request depends on the status. */
+export type ErrorResponse = {kind: 'failed'; status: number; text: string; contentType?: string};
 
-/** Every way in which a call can end before its answer starts. */
-export type CallFailure = ExchangeFailure | Refusal | Failure;
+/** Why a call ended without a usable response. */
+export type CallFailure = ExchangeFailure | Refusal | ErrorResponse;
 
-/** Whether the request ran at the upstream, as far as the ending of a call that gave no answer proves it. */
+/** Returns whether the upstream executed the request of a failed call, or `unknown` if the failure doesn't tell. */
 export const getRunState = (failure: CallFailure): RunState => {
 	switch (failure.kind) {
 		case 'unreachable':
--- a/packages/upstream/src/client.test.ts
+++ b/packages/upstream/src/client.test.ts
@@ -6,7 +6,7 @@
 import type {AddressInfo, Socket} from 'node:net';
 import {afterEach, expect, test} from 'vitest';
 import {createManualClock, createSystemClock} from '@gentianlift/clock';
-import {createSilenceWatch} from './wire/silence.js';
+import {createSilenceTimer} from './wire/silence-timer.js';
 import {
 	createUpstreamClient, getRunState, type CallFailure, type Generation, type UpstreamClient,
 } from './index.js';
@@ -16,15 +16,15 @@
 const silenceLimits = {
 	caller: 10_000, firstToken: 60_000, betweenTokens: 10_000, service: 30_000, peer: 1000, platform: 1000, watch: 1000,
 };
-const opened: Array<Server | UpstreamClient> = [];
+const closeables: Array<Server | UpstreamClient> = [];
 const sockets = new Set<Socket>();
 
-const serve = async (handler: Handler): Promise<string> => {
+const startServer = async (handler: Handler): Promise<string> => {
 	const server = createServer(handler);
 	server.on('connection', socket => {
 		sockets.add(socket);
 	});
-	opened.push(server);
+	closeables.push(server);
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
@@ -33,17 +33,17 @@
 
 const createClient = (clock = createSystemClock()): UpstreamClient => {
 	const client = createUpstreamClient({clock, silenceLimits});
-	opened.push(client);
+	closeables.push(client);
 	return client;
 };
 
-const token = (text: string) => `data: ${JSON.stringify({choices: [{delta: {content: text}}]})}\n\n`;
-const last = `data: ${JSON.stringify({choices: [{delta: {}, finish_reason: 'stop'}], usage: {completion_tokens: 2}})}\n\n`;
-const done = 'data: [DONE]\n\n';
+const createTokenEvent = (text: string) => `data: ${JSON.stringify({choices: [{delta: {content: text}}]})}\n\n`;
+const finalEvent = `data: ${JSON.stringify({choices: [{delta: {}, finish_reason: 'stop'}], usage: {completion_tokens: 2}})}\n\n`;
+const terminalEvent = 'data: [DONE]\n\n';
 
-const getStarted = (result: Generation | CallFailure): Generation => {
+const expectStarted = (result: Generation | CallFailure): Generation => {
 	if (result.kind !== 'started') {
-		throw new Error(`not started: ${result.kind}`);
+		throw new Error(`generation did not start: ${result.kind}`);
 	}
 
 	return result;
@@ -58,12 +58,12 @@
 	return pieces.join('');
 };
 
-const run = async (client: UpstreamClient, address: string, signal?: AbortSignal) => client.generate({
+const startGeneration = async (client: UpstreamClient, address: string, signal?: AbortSignal) => client.generate({
 	address, body: '{}', headers: {'x-request-id': 'a.1.1', 'x-priority': '0'}, ...(signal && {signal}),
 });
 
 afterEach(() => {
-	for (const item of opened.splice(0)) {
+	for (const item of closeables.splice(0)) {
 		item.close();
 	}
 
@@ -74,69 +74,69 @@
 	sockets.clear();
 });
 
-test('relays a generation whole', async () => {
-	const sent = [token('a"'), token('\u00E9'), last, done].join('');
-	const address = await serve((_request, response) => {
+test('a generation that arrives byte by byte is relayed unchanged', async () => {
+	const sent = [createTokenEvent('a"'), createTokenEvent('\u00E9'), finalEvent, terminalEvent].join('');
+	const address = await startServer((_request, response) => {
 		for (const byte of Buffer.from(sent)) {
 			response.write(Buffer.from([byte]));
 		}
 
 		response.end();
 	});
-	const generation = getStarted(await run(createClient(), address));
+	const generation = expectStarted(await startGeneration(createClient(), address));
 	expect(await readAll(generation)).toBe(sent);
 	expect(await generation.outcome).toEqual({kind: 'finished', finishReason: 'stop', usage: {completion_tokens: 2}});
 	expect(generation.getText()).toBe('a"\u00E9');
 	expect(generation.getTokens()).toBe(2);
 });
 
-test('an end without the terminal event is incomplete', async () => {
-	const address = await serve((_request, response) => {
-		response.end(token('a') + last);
+test('a response that ends without the terminal event is incomplete', async () => {
+	const address = await startServer((_request, response) => {
+		response.end(createTokenEvent('a') + finalEvent);
 	});
-	const generation = getStarted(await run(createClient(), address));
+	const generation = expectStarted(await startGeneration(createClient(), address));
 	await readAll(generation);
 	expect(await generation.outcome).toEqual({kind: 'incomplete'});
 });
 
-test('a crash in mid-answer keeps the whole events', async () => {
-	const address = await serve((_request, response) => {
-		response.write(`${token('a')}data: {"choi`, () => {
+test('a connection lost in mid-stream delivers the complete events and drops a partial one', async () => {
+	const address = await startServer((_request, response) => {
+		response.write(`${createTokenEvent('a')}data: {"choi`, () => {
 			response.destroy();
 		});
 	});
-	const generation = getStarted(await run(createClient(), address));
-	expect(await readAll(generation)).toBe(token('a'));
+	const generation = expectStarted(await startGeneration(createClient(), address));
+	expect(await readAll(generation)).toBe(createTokenEvent('a'));
 	expect(await generation.outcome).toMatchObject({kind: 'reset'});
 });
 
-test('a refused connection did not run', async () => {
-	const address = await serve(() => undefined);
-	opened.splice(0)[0]?.close();
-	const result = await run(createClient(), address);
+test('after a refused connection the request is known not to have run', async () => {
+	const address = await startServer(() => undefined);
+	closeables.splice(0)[0]?.close();
+	const result = await startGeneration(createClient(), address);
 	expect(result).toMatchObject({kind: 'unreachable', reason: 'ECONNREFUSED'});
 	expect(getRunState(result as CallFailure)).toBe('not-run');
 });
 
-test('a refusal did not run and names its code', async () => {
-	const address = await serve((_request, response) => {
+test('a 503 with the header x-ran: not-run is a refusal with its code and retry time', async () => {
+	const address = await startServer((_request, response) => {
 		response.writeHead(503, {'x-ran': 'not-run', 'retry-after': '2'}).end('{"error":{"code":"leaving"}}');
 	});
-	expect(await run(createClient(), address)).toEqual({kind: 'refused', code: 'leaving', retryAfter: 2000});
+	expect(await startGeneration(createClient(), address)).toEqual({kind: 'refused', code: 'leaving', retryAfter: 2000});
 });
 
-test('a 503 without the header is a failure', async () => {
-	const address = await serve((_request, response) => {
+test('a 503 without the header x-ran is an error after which the request counts as run', async () => {
+	const address = await startServer((_request, response) => {
 		response.writeHead(503).end('no');
 	});
-	const result = await run(createClient(), address);
+	const result = await startGeneration(createClient(), address);
 	expect(result).toMatchObject({kind: 'failed', status: 503});
 	expect(getRunState(result as CallFailure)).toBe('ran');
 });
 
-test('a kept-alive connection that is reset is not tried again', async () => {
+test('a request on a reused connection that is reset is not retried', async () => {
 	let calls = 0;
-	const address = await serve((request, response) => {
+	const address = await startServer((request, response) => {
 		calls++;
 		if (calls === 1) {
 			response.end('ok');
@@ -157,13 +157,13 @@
 	expect(calls).toBe(2);
 });
 
-test('a silent engine is given up, told so, and reached over a new connection', async () => {
+test('after a silence timeout the generation is cancelled, and the next request uses a new connection', async () => {
 	const clock = createManualClock();
 	const events = new EventTarget();
 	const arrival = once(events, 'arrived');
 	const cancelled = once(events, 'DELETE /v1/generations/a.1.1');
 	let calls = 0;
-	const address = await serve((request, response) => {
+	const address = await startServer((request, response) => {
 		calls++;
 		if (calls === 1) {
 			events.dispatchEvent(new Event('arrived'));
@@ -171,53 +171,53 @@
 		}
 
 		events.dispatchEvent(new Event(`${request.method} ${request.url}`));
-		response.end(token('a') + done);
+		response.end(createTokenEvent('a') + terminalEvent);
 	});
 	const client = createClient(clock);
-	const pending = run(client, address);
+	const pending = startGeneration(client, address);
 	await arrival;
 	await clock.advance(silenceLimits.firstToken + 2000);
 	expect(await pending).toMatchObject({kind: 'silent', after: silenceLimits.firstToken});
 	await cancelled;
-	const generation = getStarted(await run(client, address));
+	const generation = expectStarted(await startGeneration(client, address));
 	await readAll(generation);
 	expect(await generation.outcome).toMatchObject({kind: 'finished'});
 });
 
-test('a pause of this process is not silence', async () => {
+test('a suspension of this process does not count towards the silence timeout', async () => {
 	const clock = createManualClock();
-	let isSilent = false;
-	const watch = createSilenceWatch(clock, 1000, () => {
-		isSilent = true;
+	let hasTimedOut = false;
+	const timer = createSilenceTimer(clock, 1000, () => {
+		hasTimedOut = true;
 	});
 	clock.pause(20_000);
 	await clock.advance(999);
-	expect(isSilent).toBe(false);
+	expect(hasTimedOut).toBe(false);
 	await clock.advance(1);
-	expect(isSilent).toBe(true);
-	watch.stop();
+	expect(hasTimedOut).toBe(true);
+	timer.stop();
 });
 
-test('the limit between tokens starts with the first one', async () => {
+test('the silence timeout between tokens applies from the first token on', async () => {
 	const clock = createManualClock();
-	const address = await serve((_request, response) => {
-		response.write(token('a'));
+	const address = await startServer((_request, response) => {
+		response.write(createTokenEvent('a'));
 	});
-	const generation = getStarted(await run(createClient(clock), address));
+	const generation = expectStarted(await startGeneration(createClient(clock), address));
 	const reader = generation.chunks[Symbol.asyncIterator]();
 	await reader.next();
 	await clock.advance(silenceLimits.betweenTokens);
 	expect(await generation.outcome).toEqual({kind: 'silent', after: silenceLimits.betweenTokens});
 });
 
-test('aborting closes the connection at the engine', async () => {
+test('aborting a generation closes its connection to the engine', async () => {
 	const abort = new AbortController();
 	const closed = new Promise<void>(resolve => {
-		void serve((_request, response) => {
+		void startServer((_request, response) => {
 			response.on('close', resolve);
-			response.write(token('a'));
+			response.write(createTokenEvent('a'));
 		}).then(async address => {
-			const generation = getStarted(await run(createClient(), address, abort.signal));
+			const generation = expectStarted(await startGeneration(createClient(), address, abort.signal));
 			abort.abort();
 			expect(await generation.outcome).toEqual({kind: 'cancelled'});
 		});
@@ -225,36 +225,36 @@
 	await closed;
 });
 
-test('a slow reader holds the engine back', async () => {
-	const large = token('x'.repeat(1000));
-	const total = 20_000;
-	let written = 0;
-	const address = await serve((_request, response) => {
+test('a slow reader exerts backpressure on the engine', async () => {
+	const largeEvent = createTokenEvent('x'.repeat(1000));
+	const totalEvents = 20_000;
+	let writtenEvents = 0;
+	const address = await startServer((_request, response) => {
 		const write = (): void => {
-			while (written < total) {
-				written++;
-				if (!response.write(large)) {
+			while (writtenEvents < totalEvents) {
+				writtenEvents++;
+				if (!response.write(largeEvent)) {
 					response.once('drain', write);
 					return;
 				}
 			}
 
-			response.end(done);
+			response.end(terminalEvent);
 		};
 
 		write();
 	});
-	const generation = getStarted(await run(createClient(), address));
+	const generation = expectStarted(await startGeneration(createClient(), address));
 	await new Promise(resolve => {
 		setTimeout(resolve, 300);
 	});
-	expect(written).toBeLessThan(total);
+	expect(writtenEvents).toBeLessThan(totalEvents);
 	await readAll(generation);
-	expect(generation.getTokens()).toBe(total);
+	expect(generation.getTokens()).toBe(totalEvents);
 });
 
-test('a service answer passes without the headers of the connection', async () => {
-	const address = await serve((_request, response) => {
+test('a service response is relayed without hop-by-hop headers', async () => {
+	const address = await startServer((_request, response) => {
 		response.writeHead(201, {connection: 'close, x-hop', 'x-hop': '1', 'x-kept': '2'}).end('made');
 	});
 	const answer = await createClient().callService({
@@ -270,29 +270,29 @@
 	expect(await answer.outcome).toEqual({kind: 'finished'});
 });
 
-test('an order that loses its reply is unknown', async () => {
-	const address = await serve(request => {
+test('the outcome of an order whose response is lost is unknown', async () => {
+	const address = await startServer(request => {
 		request.socket.destroy();
 	});
 	const order = {id: 'o1', fencingNumber: 1, order: {kind: 'unload', model: 'm'}} as const;
 	expect(await createClient().sendOrder(address, order)).toMatchObject({kind: 'unknown'});
 });
 
-test('an order with an old fencing number is stale', async () => {
-	const address = await serve((_request, response) => {
+test('an order rejected for an old fencing number is stale and reports the highest number', async () => {
+	const address = await startServer((_request, response) => {
 		response.writeHead(409).end('{"highest":7}');
 	});
 	const order = {id: 'o1', fencingNumber: 1, order: {kind: 'unload', model: 'm'}} as const;
 	expect(await createClient().sendOrder(address, order)).toEqual({kind: 'stale', highest: 7});
 });
 
-test('a service without a health page is alive, and one in trouble is not', async () => {
-	const plain = await serve((_request, response) => {
+test('a 404 of the health path counts as healthy and a 503 as an error', async () => {
+	const withoutHealthPath = await startServer((_request, response) => {
 		response.writeHead(404).end();
 	});
-	const troubled = await serve((_request, response) => {
+	const failing = await startServer((_request, response) => {
 		response.writeHead(503).end();
 	});
-	expect(await createClient().checkHealth(plain)).toBe('success');
-	expect(await createClient().checkHealth(troubled)).toBe('error');
+	expect(await createClient().checkHealth(withoutHealthPath)).toBe('success');
+	expect(await createClient().checkHealth(failing)).toBe('error');
 });
--- a/packages/upstream/src/client.ts
+++ b/packages/upstream/src/client.ts
@@ -2,38 +2,38 @@
 import type {
 	Address, FencedOrder, LoadReport, OrderOutcome, RequestId, SilenceLimits, UpstreamSighting,
 } from '@gentianlift/types';
-import {callService, type ServiceAnswer, type ServiceCall} from './commands/call-service.js';
+import {callService, type ServiceResponse, type ServiceCall} from './commands/call-service.js';
 import {cancelGeneration} from './commands/cancel-generation.js';
 import {generate, type Generation, type GenerationCall} from './commands/generate.js';
 import {exportCache, importCache} from './commands/move-cache.js';
 import {sendOrder} from './commands/send-order.js';
-import type {CallFailure} from './outcome.js';
+import type {CallFailure} from './call-failure.js';
 import {checkHealth} from './queries/check-health.js';
 import {readCacheEvents, type CacheEventPage} from './queries/read-cache-events.js';
 import {readLoad} from './queries/read-load.js';
-import {createPool} from './wire/pool.js';
+import {createConnectionPool} from './wire/connection-pool.js';
 
-/** Calls to upstreams. None throws, and none sends a request twice. */
+/** HTTP client for upstreams. No method throws, and none retries a request. */
 export type UpstreamClient = {
 	generate: (call: GenerationCall) => Promise<Generation | CallFailure>;
 	cancelGeneration: (address: Address, request: RequestId) => Promise<boolean>;
-	callService: (call: ServiceCall) => Promise<ServiceAnswer | CallFailure>;
+	callService: (call: ServiceCall) => Promise<ServiceResponse | CallFailure>;
 	sendOrder: (address: Address, order: FencedOrder) => Promise<OrderOutcome>;
 	exportCache: (address: Address, chunk: string) => Promise<boolean>;
-	importCache: (address: Address, wanted: {chunk: string; from: Address}) => Promise<boolean>;
+	importCache: (address: Address, transfer: {chunk: string; from: Address}) => Promise<boolean>;
 	readLoad: (address: Address) => Promise<LoadReport | undefined>;
 	readCacheEvents: (address: Address, after: number) => Promise<CacheEventPage | undefined>;
 	checkHealth: (address: Address) => Promise<UpstreamSighting['kind']>;
-	/** Closes all connections. */
+	/** Closes all connections, including those in use. */
 	close: () => void;
 };
 
-/** What the client needs. */
+/** Options of `createUpstreamClient`. */
 export type UpstreamClientOptions = {clock: Clock; silenceLimits: SilenceLimits};
 
-/** Creates a client with its own pool of connections. */
+/** Creates a client with its own connection pool. */
 export const createUpstreamClient = ({clock, silenceLimits}: UpstreamClientOptions): UpstreamClient => {
-	const pool = createPool();
+	const pool = createConnectionPool();
 	const context = {clock, pool};
 	return {
 		generate: async call => generate(context, silenceLimits, call),
@@ -41,7 +41,7 @@
 		callService: async call => callService(context, silenceLimits, call),
 		sendOrder: async (address, order) => sendOrder(context, address, order),
 		exportCache: async (address, chunk) => exportCache(context, address, chunk),
-		importCache: async (address, wanted) => importCache(context, address, wanted),
+		importCache: async (address, transfer) => importCache(context, address, transfer),
 		readLoad: async address => readLoad(context, address),
 		readCacheEvents: async (address, after) => readCacheEvents(context, address, after),
 		checkHealth: async address => checkHealth(context, address),
--- a/packages/upstream/src/commands/call-service.ts
+++ b/packages/upstream/src/commands/call-service.ts
@@ -1,69 +1,69 @@
 import {finished} from 'node:stream';
 import type {OutgoingHttpHeaders} from 'node:http';
 import type {Address, SilenceLimits} from '@gentianlift/types';
-import type {CallFailure} from '../outcome.js';
-import {createAnswerDelivery} from '../wire/deliver-answer.js';
-import type {Chunk, Delivery} from '../wire/delivery.js';
+import type {CallFailure} from '../call-failure.js';
+import {createResponseStream} from '../wire/response-stream.js';
+import type {StreamChunk, ChunkStream} from '../wire/chunk-stream.js';
 import {
-	exchange, type Answer, type ExchangeContext, type ExchangeFailure,
+	exchange, type UpstreamResponse, type ExchangeContext, type ExchangeFailure,
 } from '../wire/exchange.js';
 import {getEndToEndHeaders} from '../wire/headers.js';
-import {isRefusal, readError} from '../wire/refusal.js';
+import {isRefusal, readError} from '../wire/error-response.js';
 
-/** A call to an application service. */
+/** A request to an application service. */
 export type ServiceCall = {
 	address: Address;
 	method: string;
 	path: string;
 	headers: OutgoingHttpHeaders;
 	body?: Uint8Array | string;
-	/** Aborting closes the connection; leave it out for a call that must run to its end. */
+	/** Aborting closes the connection; leave it out for a call that must not be interrupted. */
 	signal?: AbortSignal;
 };
 
-/** How a service's answer ended. */
+/** How the body of a service's response ended. */
 export type ServiceOutcome = {kind: 'finished'} | ExchangeFailure;
 
-/** A service's answer under way, of any status. */
-export type ServiceAnswer = {
+/** A service's response, of any status, whose body is still being received. */
+export type ServiceResponse = {
 	kind: 'answered';
 	status: number;
-	/** Without the headers that concern one connection only. */
+	/** End-to-end headers; hop-by-hop headers are removed. */
 	headers: OutgoingHttpHeaders;
-	/** Pieces of the body; ends when `outcome` is known, and throws nothing. */
-	chunks: AsyncIterable<Chunk>;
+	/** The body in pieces. Ends when `outcome` is known, and never throws. */
+	chunks: AsyncIterable<StreamChunk>;
 	outcome: Promise<ServiceOutcome>;
 };
 
-const connectBody = async (answer: Answer, delivery: Delivery): Promise<ServiceOutcome> => new Promise(resolve => {
-	const {response, silence} = answer;
-	response.on('data', (piece: Uint8Array) => {
-		silence.touch();
-		delivery.push(piece, 0);
+const streamBody = async (response: UpstreamResponse, stream: ChunkStream): Promise<ServiceOutcome> => new Promise(resolve => {
+	const {message, silenceTimer} = response;
+	message.on('data', (piece: Uint8Array) => {
+		silenceTimer.recordActivity();
+		stream.push(piece, 0);
 	});
-	finished(response, error => {
-		answer.finish();
-		delivery.end();
-		const failure: ExchangeFailure = answer.getFailure() ?? {kind: 'reset', reason: 'mid-answer'};
+	finished(message, error => {
+		response.release();
+		stream.end();
+		const failure: ExchangeFailure = response.getFailure() ?? {kind: 'reset', reason: 'mid-answer'};
 		resolve(error ? failure : {kind: 'finished'});
 	});
 });
 
-/** Calls a service: resolves once it starts to answer, or with why it didn't. Never sends a call twice, and never throws. */
-export const callService = async (context: ExchangeContext, limits: SilenceLimits, call: ServiceCall): Promise<ServiceAnswer | CallFailure> => {
-	const answer = await exchange(context, call, limits.service);
-	if (answer.kind !== 'answered') {
-		return answer;
+/** Calls a service. Resolves when the head of the response arrives, or with the reason why there is none. Never retries and never throws. */
+export const callService = async (context: ExchangeContext, limits: SilenceLimits, call: ServiceCall): Promise<ServiceResponse | CallFailure> => {
+	const response = await exchange(context, call, limits.service);
+	if (response.kind !== 'answered') {
+		return response;
 	}
 
-	const {response} = answer;
-	if (isRefusal(response)) {
-		return readError(answer);
+	const {message} = response;
+	if (isRefusal(message)) {
+		return readError(response);
 	}
 
-	const delivery = createAnswerDelivery(answer);
-	const outcome = connectBody(answer, delivery);
+	const stream = createResponseStream(response);
+	const outcome = streamBody(response, stream);
 	return {
-		kind: 'answered', status: response.statusCode ?? 0, headers: getEndToEndHeaders(response.headers), chunks: delivery.chunks, outcome,
+		kind: 'answered', status: message.statusCode ?? 0, headers: getEndToEndHeaders(message.headers), chunks: stream.chunks, outcome,
 	};
 };
--- a/packages/upstream/src/commands/generate.ts
+++ b/packages/upstream/src/commands/generate.ts
@@ -2,59 +2,60 @@
 import type {OutgoingHttpHeaders} from 'node:http';
 import type {Cancel} from '@gentianlift/clock';
 import type {Address, Milliseconds, SilenceLimits} from '@gentianlift/types';
-import type {CallFailure} from '../outcome.js';
-import {createAnswerDelivery} from '../wire/deliver-answer.js';
-import type {Chunk, Delivery} from '../wire/delivery.js';
+import type {CallFailure} from '../call-failure.js';
+import {createResponseStream} from '../wire/response-stream.js';
+import type {StreamChunk, ChunkStream} from '../wire/chunk-stream.js';
 import {createEventReader, type EventReader, type GenerationEnd} from '../wire/event-reader.js';
 import {
-	exchange, type Answer, type ExchangeContext, type ExchangeFailure,
+	exchange, type UpstreamResponse, type ExchangeContext, type ExchangeFailure,
 } from '../wire/exchange.js';
-import {readError} from '../wire/refusal.js';
+import {readError} from '../wire/error-response.js';
 import {cancelGeneration} from './cancel-generation.js';
 
 /** A generation to run at an engine. */
 export type GenerationCall = {
 	address: Address;
-	/** JSON body; see `getEngineBody`. */
+	/** JSON body, as created by `getEngineBody`. */
 	body: Uint8Array | string;
-	/** Must hold `x-request-id` and `x-priority`. */
+	/** Must include `x-request-id` and `x-priority`. */
 	headers: OutgoingHttpHeaders;
 	/** Aborting cancels the generation at the engine. */
 	signal?: AbortSignal;
 };
 
-/** How a generation that had started ended. */
+/** How a generation ended after it had started. */
 export type GenerationOutcome
 	= | ({kind: 'finished'} & GenerationEnd)
-		/** The engine closed the connection in good order, but without the terminal event. */
+		/** The response ended properly but without the terminal event. */
 		| {kind: 'incomplete'}
 		| ExchangeFailure;
 
-/** A generation under way. */
+/** A generation whose output is being streamed. */
 export type Generation = {
 	kind: 'started';
-	/** Whole events as the engine sent them; ends when `outcome` is known, and throws nothing. */
-	chunks: AsyncIterable<Chunk>;
+	/** Complete events, byte for byte as the engine sent them. Ends when `outcome` is known, and never throws. */
+	chunks: AsyncIterable<StreamChunk>;
 	outcome: Promise<GenerationOutcome>;
-	/** Text received so far; all of it has been handed out once `chunks` ends. */
+	/** Returns the text received so far; once `chunks` has ended, all of it has been delivered. */
 	getText: () => string;
-	/** Tokens received so far. */
+	/** Returns the number of tokens received so far. */
 	getTokens: () => number;
 };
 
-type Wiring = {reader: EventReader; delivery: Delivery; limits: SilenceLimits};
+/** The parts that receive the response of one generation. */
+type GenerationStream = {reader: EventReader; stream: ChunkStream; limits: SilenceLimits};
 
-/** Largest event of a generation. */
+/** Maximum size of one event of a generation. */
 const maxEventBytes = 1_048_576;
-/** Time for the connection to end in good order after the terminal event, so that it can be used again. */
-const endTimeout: Milliseconds = 1000;
+/** Time that the response may take to end after the terminal event; only then can the connection be reused. */
+const closeTimeout: Milliseconds = 1000;
 
-const getOutcome = (isFinished: boolean, error: unknown, answer: Answer, reader: EventReader): GenerationOutcome => {
+const getOutcome = (isFinished: boolean, error: unknown, response: UpstreamResponse, reader: EventReader): GenerationOutcome => {
 	if (isFinished) {
 		return {kind: 'finished', ...reader.getEnd()};
 	}
 
-	const failure = answer.getFailure();
+	const failure = response.getFailure();
 	if (failure !== undefined) {
 		return failure;
 	}
@@ -62,47 +63,47 @@
 	return error ? {kind: 'reset', reason: 'mid-answer'} : {kind: 'incomplete'};
 };
 
-const connectReader = async (context: ExchangeContext, answer: Answer, wiring: Wiring): Promise<GenerationOutcome> => {
-	const {response, silence} = answer;
-	const {reader, delivery, limits} = wiring;
-	let cancelEnd: Cancel | undefined;
+const streamGeneration = async (context: ExchangeContext, response: UpstreamResponse, generationStream: GenerationStream): Promise<GenerationOutcome> => {
+	const {message, silenceTimer} = response;
+	const {reader, stream, limits} = generationStream;
+	let cancelCloseTimer: Cancel | undefined;
 	return new Promise(resolve => {
-		const settle = (error?: unknown): void => {
-			cancelEnd?.();
-			answer.finish();
-			delivery.end();
-			resolve(getOutcome(cancelEnd !== undefined, error, answer, reader));
+		const onResponseEnd = (error?: unknown): void => {
+			cancelCloseTimer?.();
+			response.release();
+			stream.end();
+			resolve(getOutcome(cancelCloseTimer !== undefined, error, response, reader));
 		};
 
-		const end = (): void => {
-			cancelEnd = context.clock.after(endTimeout, () => {
-				answer.abandon({kind: 'reset', reason: 'open-after-end'});
+		const onTerminalEvent = (): void => {
+			cancelCloseTimer = context.clock.after(closeTimeout, () => {
+				response.abort({kind: 'reset', reason: 'open-after-end'});
 			});
-			answer.finish();
-			delivery.end();
-			resolve(getOutcome(true, undefined, answer, reader));
+			response.release();
+			stream.end();
+			resolve(getOutcome(true, undefined, response, reader));
 		};
 
-		response.on('data', (piece: Uint8Array) => {
-			silence.touch();
-			if (cancelEnd !== undefined) {
+		message.on('data', (piece: Uint8Array) => {
+			silenceTimer.recordActivity();
+			if (cancelCloseTimer !== undefined) {
 				return;
 			}
 
 			const events = reader.read(piece);
-			delivery.push(events.bytes, events.tokens);
-			silence.setLimit(reader.getTokens() > 0 ? limits.betweenTokens : limits.firstToken);
+			stream.push(events.bytes, events.tokens);
+			silenceTimer.setLimit(reader.getTokens() > 0 ? limits.betweenTokens : limits.firstToken);
 			if (events.isFinished) {
-				end();
+				onTerminalEvent();
 			} else if (reader.getPartialBytes() > maxEventBytes) {
-				answer.abandon({kind: 'reset', reason: 'event-too-long'});
+				response.abort({kind: 'reset', reason: 'event-too-long'});
 			}
 		});
-		finished(response, settle);
+		finished(message, onResponseEnd);
 	});
 };
 
-/** An engine that lost track of the connection would go on generating for nobody. */
+/** Cancels a generation after a silence timeout: an engine that has not noticed the closed connection would otherwise keep generating. */
 const cancelIfSilent = (context: ExchangeContext, {address, headers}: GenerationCall, outcome: {kind: string}): void => {
 	const id = headers['x-request-id'];
 	if (outcome.kind === 'silent' && typeof id === 'string') {
@@ -114,24 +115,24 @@
 	cancelIfSilent(context, call, await outcome);
 };
 
-/** Runs a generation: resolves once the engine starts to answer, or with why it didn't. Never throws. */
+/** Runs a generation. Resolves when the head of the response arrives, or with the reason why there is none. Never throws. */
 export const generate = async (context: ExchangeContext, limits: SilenceLimits, call: GenerationCall): Promise<Generation | CallFailure> => {
 	const request = {...call, method: 'POST', path: '/v1/chat/completions'};
-	const answer = await exchange(context, request, limits.firstToken);
-	if (answer.kind !== 'answered') {
-		cancelIfSilent(context, call, answer);
-		return answer;
+	const response = await exchange(context, request, limits.firstToken);
+	if (response.kind !== 'answered') {
+		cancelIfSilent(context, call, response);
+		return response;
 	}
 
-	if (answer.response.statusCode !== 200) {
-		return readError(answer);
+	if (response.message.statusCode !== 200) {
+		return readError(response);
 	}
 
 	const reader = createEventReader();
-	const delivery = createAnswerDelivery(answer);
-	const outcome = connectReader(context, answer, {reader, delivery, limits});
+	const stream = createResponseStream(response);
+	const outcome = streamGeneration(context, response, {reader, stream, limits});
 	void cancelWhenSilent(context, call, outcome);
 	return {
-		kind: 'started', chunks: delivery.chunks, outcome, getText: reader.getText, getTokens: reader.getTokens,
+		kind: 'started', chunks: stream.chunks, outcome, getText: reader.getText, getTokens: reader.getTokens,
 	};
 };
--- a/packages/upstream/src/commands/send-order.ts
+++ b/packages/upstream/src/commands/send-order.ts
@@ -2,32 +2,32 @@
 import {callJson} from '../wire/call-json.js';
 import type {ExchangeContext} from '../wire/exchange.js';
 
-const getHighest = (value: unknown): number => {
+const getHighestFencingNumber = (value: unknown): number => {
 	const {highest} = (value ?? {}) as {highest?: unknown};
 	return typeof highest === 'number' ? highest : 0;
 };
 
-/** Sends an order to an engine once. `refused` proves that it wasn't carried out, `unknown` proves nothing. */
+/** Sends an order to an engine, without retries. `refused` means that the order was not executed; after `unknown` it may have been. */
 export const sendOrder = async (context: ExchangeContext, address: Address, order: FencedOrder): Promise<OrderOutcome> => {
-	const answer = await callJson(context, {
+	const response = await callJson(context, {
 		address, method: 'POST', path: '/v1/orders', value: order,
 	});
-	switch (answer.kind) {
+	switch (response.kind) {
 		case 'unreachable': {
-			return {kind: 'refused', reason: answer.reason};
+			return {kind: 'refused', reason: response.reason};
 		}
 
 		case 'reset': {
-			return {kind: 'unknown', reason: answer.reason};
+			return {kind: 'unknown', reason: response.reason};
 		}
 
 		case 'silent':
 		case 'cancelled': {
-			return {kind: 'unknown', reason: answer.kind};
+			return {kind: 'unknown', reason: response.kind};
 		}
 
 		case 'answered': {
-			return getOrderOutcome(answer.status, answer.value);
+			return getOrderOutcome(response.status, response.value);
 		}
 	}
 };
@@ -38,7 +38,7 @@
 	}
 
 	if (status === 409) {
-		return {kind: 'stale', highest: getHighest(value)};
+		return {kind: 'stale', highest: getHighestFencingNumber(value)};
 	}
 
 	const reason = `status-${status}`;
--- a/packages/upstream/src/engine-body.ts
+++ b/packages/upstream/src/engine-body.ts
@@ -1,7 +1,7 @@
-/** Output that another engine already delivered, after which the next one goes on. */
+/** Output already received from another engine, after which the next engine continues. */
 export type Resume = {text: string; tokens: number};
 
-/** Gets the JSON body for an engine from a caller's: always a stream with usage, with the output so far if there is some. */
+/** Converts a caller's request body into the JSON body for an engine, which always requests a stream with usage and includes the output to continue, if any. */
 export const getEngineBody = (callerBody: Record<string, unknown>, resume?: Resume): string => {
 	const body = {...callerBody, stream: true, stream_options: {include_usage: true}};
 	return JSON.stringify(resume === undefined ? body : {...body, resume});
--- a/packages/upstream/src/health/ejection.ts
+++ b/packages/upstream/src/health/ejection.ts
@@ -1,72 +1,73 @@
 import type {Random} from '@gentianlift/clock';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** How an upstream stands: `probing` upstreams take one request at a time. */
+/** Health status of an upstream; a `probing` upstream is given one request at a time. */
 export type Standing = 'available' | 'probing' | 'ejected' | 'leaving';
 
-/** The course of one upstream from ejection back to its full share. */
-export type Ejection
+/** State of one upstream between its ejection and its return to full traffic. `level` is the exponent of the next ejection's backoff. */
+export type EjectionState
 	= | {kind: 'available'; since: Milliseconds; level: number}
 		| {kind: 'ejected'; since: Milliseconds; until: Milliseconds; level: number}
 		| {kind: 'probing'; since: Milliseconds; successes: number; level: number};
 
-const firstBackoff: Milliseconds = 1000;
-const longestBackoff: Milliseconds = 60_000;
-/** Part of a backoff that is random. */
-const jitterShare = 0.2;
-/** Time without a failure after which one earlier ejection is forgiven. */
-const forgiveAfter: Milliseconds = 60_000;
-/** Successes in a row that end probing. */
-const neededSuccesses = 2;
-/** Time in which an upstream goes back to its full share, and the share that it starts with. */
-const returnTime: Milliseconds = 10_000;
-const firstShare = 0.1;
+const initialBackoff: Milliseconds = 1000;
+const maxBackoff: Milliseconds = 60_000;
+/** Jitter of a backoff, as a fraction in either direction. */
+const jitterFraction = 0.2;
+/** Time as available, without another ejection, after which the backoff level decreases by one. */
+const levelDecayInterval: Milliseconds = 60_000;
+/** Number of consecutive successes that end probing. */
+const requiredSuccesses = 2;
+/** Time over which traffic to an upstream returns to its usual amount after probing. */
+const rampUpDuration: Milliseconds = 10_000;
+/** Fraction of the usual traffic while probing and at the start of the ramp-up. */
+const initialFraction = 0.1;
 
-const getForgiven = ({level, since}: Ejection, now: Milliseconds): number =>
-	Math.max(0, level - Math.floor((now - since) / forgiveAfter));
+const getDecayedLevel = ({level, since}: EjectionState, now: Milliseconds): number =>
+	Math.max(0, level - Math.floor((now - since) / levelDecayInterval));
 
-/** Ejects an upstream, for longer each time it fails again soon after its return. */
-export const eject = (known: Ejection, now: Milliseconds, random: Random): Ejection => {
-	const level = known.kind === 'available' ? getForgiven(known, now) : known.level;
-	const backoff = Math.min(longestBackoff, firstBackoff * (2 ** level));
-	const until = now + (backoff * (1 - jitterShare + (2 * jitterShare * random.next())));
+/** Ejects an upstream, with an exponential backoff if it fails again soon after its return. */
+export const eject = (state: EjectionState, now: Milliseconds, random: Random): EjectionState => {
+	const level = state.kind === 'available' ? getDecayedLevel(state, now) : state.level;
+	const backoff = Math.min(maxBackoff, initialBackoff * (2 ** level));
+	const until = now + (backoff * (1 - jitterFraction + (2 * jitterFraction * random.next())));
 	return {
 		kind: 'ejected', since: now, until, level: level + 1,
 	};
 };
 
-/** Moves an upstream on to probing once its time is over. */
-export const getCurrent = (known: Ejection, now: Milliseconds): Ejection =>
-	known.kind === 'ejected' && now >= known.until
+/** Returns the state in which an upstream is probed, once its ejection has expired. */
+export const startProbingWhenDue = (state: EjectionState, now: Milliseconds): EjectionState =>
+	state.kind === 'ejected' && now >= state.until
 		? {
-			kind: 'probing', since: now, successes: 0, level: known.level,
+			kind: 'probing', since: now, successes: 0, level: state.level,
 		}
-		: known;
+		: state;
 
-/** Takes in a success. */
-export const applySuccess = (known: Ejection, now: Milliseconds): Ejection => {
-	if (known.kind !== 'probing') {
-		return known;
+/** Returns the state after a successful request. */
+export const addSuccess = (state: EjectionState, now: Milliseconds): EjectionState => {
+	if (state.kind !== 'probing') {
+		return state;
 	}
 
-	const successes = known.successes + 1;
-	return successes >= neededSuccesses ? {kind: 'available', since: now, level: known.level} : {...known, successes};
+	const successes = state.successes + 1;
+	return successes >= requiredSuccesses ? {kind: 'available', since: now, level: state.level} : {...state, successes};
 };
 
-/** Gets the share of its usual work that an upstream may get, from 0 to 1. */
-export const getReturnShare = (known: Ejection, now: Milliseconds): number => {
-	switch (known.kind) {
+/** Returns the fraction of its usual traffic that an upstream may get, from 0 to 1. */
+export const getTrafficFraction = (state: EjectionState, now: Milliseconds): number => {
+	switch (state.kind) {
 		case 'ejected': {
 			return 0;
 		}
 
 		case 'probing': {
-			return firstShare;
+			return initialFraction;
 		}
 
 		case 'available': {
-			const share = known.level === 0 ? 1 : (now - known.since) / returnTime;
-			return Math.min(1, Math.max(firstShare, share));
+			const fraction = state.level === 0 ? 1 : (now - state.since) / rampUpDuration;
+			return Math.min(1, Math.max(initialFraction, fraction));
 		}
 	}
 };
--- a/packages/upstream/src/health/upstream-health.ts
+++ b/packages/upstream/src/health/upstream-health.ts
@@ -2,73 +2,73 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {HostId, UpstreamId, UpstreamSighting} from '@gentianlift/types';
 import {
-	applySuccess, eject, getCurrent, getReturnShare, type Ejection, type Standing,
+	addSuccess, eject, startProbingWhenDue, getTrafficFraction, type EjectionState, type Standing,
 } from './ejection.js';
-import {createEvidenceLog, type EvidenceLog, type Verdict} from './evidence.js';
-import {createLeaving, type LeavingSource} from './leaving.js';
+import {createObservationLog, type ObservationLog, type Verdict} from './observation-log.js';
+import {createLeavingUpstreams, type LeavingSource} from './leaving-upstreams.js';
 
-/** What this host makes of the upstreams. */
+/** Health of the upstreams as this host judges it, with ejection of failing upstreams. */
 export type UpstreamHealth = {
-	/** Takes in what a host has seen; `host` is this one by default. */
-	record: (sighting: UpstreamSighting, host?: HostId) => void;
-	/** Notes that an upstream is leaving or has come back. */
+	/** Records a host's observation of an upstream; `host` is this host by default. */
+	record: (observation: UpstreamSighting, host?: HostId) => void;
+	/** Records that a source reports an upstream as leaving, or no longer does. */
 	setLeaving: (upstream: UpstreamId, source: LeavingSource, isLeaving: boolean) => void;
 	getStanding: (upstream: UpstreamId) => Standing;
-	/** Share of its usual work that an upstream may get, from 0 to 1. */
-	getShare: (upstream: UpstreamId) => number;
-	/** Upstreams to probe, as only a success brings them back. */
+	/** Returns the fraction of its usual traffic that an upstream may get, from 0 to 1. */
+	getTrafficFraction: (upstream: UpstreamId) => number;
+	/** Returns the upstreams to probe; only successes make them available again. */
 	getProbing: () => UpstreamId[];
-	/** Calls back when this host ejects an upstream, for it to be told to the others. */
-	onEject: (listener: (sighting: UpstreamSighting) => void) => void;
+	/** Registers a listener that is called when this host ejects an upstream, so that the other hosts can be notified. */
+	onEject: (listener: (observation: UpstreamSighting) => void) => void;
 };
 
-/** What the health needs. */
+/** Options of `createUpstreamHealth`. */
 export type UpstreamHealthOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	self: HostId;
-	/** All upstreams that can do the work of one, that one included. */
+	/** Returns all upstreams that can do the same work as the given one, including that one. */
 	getPeers: (upstream: UpstreamId) => UpstreamId[];
 };
 
-type Health = {ejection: Ejection; evidence: EvidenceLog};
+type UpstreamState = {ejection: EjectionState; observations: ObservationLog};
 
-/** Share of the upstreams for one kind of work that may be ejected while they still answer. */
-const ejectableShare = 0.5;
+/** Maximum fraction of the upstreams for the same work up to which a failing one is ejected; one that is down is always ejected. */
+const maxEjectedFraction = 0.5;
 
-/** Creates the health of upstreams, all of them available. */
+/** Creates the health state of the upstreams, all of which start as available. */
 export const createUpstreamHealth = ({clock, random, metrics, self, getPeers}: UpstreamHealthOptions): UpstreamHealth => {
-	const known = new Map<UpstreamId, Health>();
-	const leaving = createLeaving();
-	const listeners = new Set<(sighting: UpstreamSighting) => void>();
+	const states = new Map<UpstreamId, UpstreamState>();
+	const leavingUpstreams = createLeavingUpstreams();
+	const listeners = new Set<(observation: UpstreamSighting) => void>();
 
-	const getHealth = (upstream: UpstreamId): Health => {
-		const health = known.get(upstream) ?? {
-			ejection: {kind: 'available', since: clock.monotonic(), level: 0}, evidence: createEvidenceLog(self),
+	const getState = (upstream: UpstreamId): UpstreamState => {
+		const state = states.get(upstream) ?? {
+			ejection: {kind: 'available', since: clock.monotonic(), level: 0}, observations: createObservationLog(self),
 		};
-		known.set(upstream, health);
-		health.ejection = getCurrent(health.ejection, clock.monotonic());
-		return health;
+		states.set(upstream, state);
+		state.ejection = startProbingWhenDue(state.ejection, clock.monotonic());
+		return state;
 	};
 
-	const isEjected = (upstream: UpstreamId): boolean => getHealth(upstream).ejection.kind === 'ejected';
+	const isEjected = (upstream: UpstreamId): boolean => getState(upstream).ejection.kind === 'ejected';
 
 	const canEject = (upstream: UpstreamId, verdict: Verdict): boolean => {
 		if (verdict === 'down') {
 			return true;
 		}
 
-		const peers = getPeers(upstream);
-		const ejected = peers.filter(peer => isEjected(peer)).length;
-		return ejected + 1 <= peers.length * ejectableShare;
+		const equivalents = getPeers(upstream);
+		const ejected = equivalents.filter(equivalent => isEjected(equivalent)).length;
+		return ejected + 1 <= equivalents.length * maxEjectedFraction;
 	};
 
-	const applyVerdict = (health: Health, sighting: UpstreamSighting, host: HostId): void => {
-		const {upstream, kind} = sighting;
-		const isProbeFailed = health.ejection.kind === 'probing' && host === self && kind !== 'success' && kind !== 'refused';
-		const verdict = isProbeFailed ? 'failing' : health.evidence.getVerdict(clock.monotonic());
-		if (verdict === 'healthy' || health.ejection.kind === 'ejected') {
+	const applyVerdict = (state: UpstreamState, observation: UpstreamSighting, host: HostId): void => {
+		const {upstream, kind} = observation;
+		const hasProbeFailed = state.ejection.kind === 'probing' && host === self && kind !== 'success' && kind !== 'refused';
+		const verdict = hasProbeFailed ? 'failing' : state.observations.getVerdict(clock.monotonic());
+		if (verdict === 'healthy' || state.ejection.kind === 'ejected') {
 			return;
 		}
 
@@ -77,49 +77,49 @@
 			return;
 		}
 
-		health.ejection = eject(health.ejection, clock.monotonic(), random);
-		health.evidence.clear();
+		state.ejection = eject(state.ejection, clock.monotonic(), random);
+		state.observations.clear();
 		metrics.count('upstream_ejections', {reason: kind});
 		if (host === self) {
 			for (const listener of listeners) {
-				listener(sighting);
+				listener(observation);
 			}
 		}
 	};
 
-	const record = (sighting: UpstreamSighting, host: HostId = self): void => {
-		const health = getHealth(sighting.upstream);
+	const record = (observation: UpstreamSighting, host: HostId = self): void => {
+		const state = getState(observation.upstream);
 		const now = clock.monotonic();
-		if (sighting.kind === 'leaving') {
-			leaving.set(sighting.upstream, 'upstream', true, now);
+		if (observation.kind === 'leaving') {
+			leavingUpstreams.set(observation.upstream, 'upstream', true, now);
 			return;
 		}
 
-		if (sighting.kind === 'unreachable' && host === self) {
-			// What was leaving has left: if it comes back, it is a new process.
-			leaving.set(sighting.upstream, 'upstream', false, now);
+		if (observation.kind === 'unreachable' && host === self) {
+			// An upstream that was leaving has stopped; if it becomes reachable again, it is a new process.
+			leavingUpstreams.set(observation.upstream, 'upstream', false, now);
 		}
 
-		health.evidence.add({...sighting, at: now, host});
-		if (sighting.kind === 'success' && host === self) {
-			health.ejection = applySuccess(health.ejection, now);
+		state.observations.add({...observation, at: now, host});
+		if (observation.kind === 'success' && host === self) {
+			state.ejection = addSuccess(state.ejection, now);
 		}
 
-		applyVerdict(health, sighting, host);
+		applyVerdict(state, observation, host);
 	};
 
 	return {
 		record,
 		setLeaving(upstream, source, isLeaving) {
-			leaving.set(upstream, source, isLeaving, clock.monotonic());
+			leavingUpstreams.set(upstream, source, isLeaving, clock.monotonic());
 		},
 		getStanding(upstream) {
-			return leaving.has(upstream, clock.monotonic()) ? 'leaving' : getHealth(upstream).ejection.kind;
+			return leavingUpstreams.has(upstream, clock.monotonic()) ? 'leaving' : getState(upstream).ejection.kind;
 		},
-		getShare(upstream) {
-			return leaving.has(upstream, clock.monotonic()) ? 0 : getReturnShare(getHealth(upstream).ejection, clock.monotonic());
+		getTrafficFraction(upstream) {
+			return leavingUpstreams.has(upstream, clock.monotonic()) ? 0 : getTrafficFraction(getState(upstream).ejection, clock.monotonic());
 		},
-		getProbing: () => [...known.keys()].filter(upstream => getHealth(upstream).ejection.kind === 'probing'),
+		getProbing: () => [...states.keys()].filter(upstream => getState(upstream).ejection.kind === 'probing'),
 		onEject(listener) {
 			listeners.add(listener);
 		},
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -2,16 +2,16 @@
 	createUpstreamClient, type UpstreamClient, type UpstreamClientOptions,
 } from './client.js';
 export type {Generation, GenerationCall, GenerationOutcome} from './commands/generate.js';
-export type {ServiceAnswer, ServiceCall, ServiceOutcome} from './commands/call-service.js';
+export type {ServiceResponse, ServiceCall, ServiceOutcome} from './commands/call-service.js';
 export type {CacheEventPage} from './queries/read-cache-events.js';
-export type {Chunk} from './wire/delivery.js';
+export type {StreamChunk} from './wire/chunk-stream.js';
 export type {GenerationEnd} from './wire/event-reader.js';
 export type {ExchangeFailure} from './wire/exchange.js';
 export {getEndToEndHeaders, hopByHopHeaders} from './wire/headers.js';
 export {getEngineBody, type Resume} from './engine-body.js';
 export {
-	getRunState, refusalCodes, type CallFailure, type Failure, type Refusal, type RefusalCode,
-} from './outcome.js';
+	getRunState, refusalCodes, type CallFailure, type ErrorResponse, type Refusal, type RefusalCode,
+} from './call-failure.js';
 export {createUpstreamHealth, type UpstreamHealth, type UpstreamHealthOptions} from './health/upstream-health.js';
 export type {Standing} from './health/ejection.js';
-export {leavingSources, type LeavingSource} from './health/leaving.js';
+export {leavingSources, type LeavingSource} from './health/leaving-upstreams.js';
--- a/packages/upstream/src/queries/check-health.ts
+++ b/packages/upstream/src/queries/check-health.ts
@@ -1,18 +1,18 @@
 import type {Address, UpstreamSighting} from '@gentianlift/types';
-import {callJson, type JsonAnswer} from '../wire/call-json.js';
+import {callJson, type JsonResponse} from '../wire/call-json.js';
 import type {ExchangeContext} from '../wire/exchange.js';
 
-const getSightingKind = (answer: JsonAnswer): UpstreamSighting['kind'] => {
-	switch (answer.kind) {
+const getObservationKind = (response: JsonResponse): UpstreamSighting['kind'] => {
+	switch (response.kind) {
 		case 'answered': {
-			// A plain service need not know the path; that it answers is what counts.
-			return answer.status < 500 ? 'success' : 'error';
+			// Services need not implement the path, so any response below 500 counts as healthy.
+			return response.status < 500 ? 'success' : 'error';
 		}
 
 		case 'unreachable':
 		case 'reset':
 		case 'silent': {
-			return answer.kind;
+			return response.kind;
 		}
 
 		case 'cancelled': {
@@ -21,6 +21,6 @@
 	}
 };
 
-/** Probes an upstream and says what was seen. */
+/** Probes an upstream over HTTP and returns the kind of the observation. */
 export const checkHealth = async (context: ExchangeContext, address: Address): Promise<UpstreamSighting['kind']> =>
-	getSightingKind(await callJson(context, {address, method: 'GET', path: '/health'}));
+	getObservationKind(await callJson(context, {address, method: 'GET', path: '/health'}));
--- a/packages/upstream/src/queries/read-cache-events.ts
+++ b/packages/upstream/src/queries/read-cache-events.ts
@@ -2,7 +2,7 @@
 import {callJson} from '../wire/call-json.js';
 import type {ExchangeContext} from '../wire/exchange.js';
 
-/** Cache events after a sequence number, and the number to ask after next. */
+/** Cache events after a sequence number, and the number to read after next time. */
 export type CacheEventPage = {events: CacheEvent[]; next: number};
 
 const isPage = (value: unknown): value is CacheEventPage => {
@@ -10,8 +10,8 @@
 	return Array.isArray(events) && typeof next === 'number';
 };
 
-/** Reads an engine's cache events after a sequence number; undefined when they can't be read. */
+/** Reads an engine's cache events after a sequence number; undefined if the request fails or the response is invalid. */
 export const readCacheEvents = async (context: ExchangeContext, address: Address, after: number): Promise<CacheEventPage | undefined> => {
-	const answer = await callJson(context, {address, method: 'GET', path: `/v1/cache-events?after=${after}`});
-	return answer.kind === 'answered' && answer.status === 200 && isPage(answer.value) ? answer.value : undefined;
+	const response = await callJson(context, {address, method: 'GET', path: `/v1/cache-events?after=${after}`});
+	return response.kind === 'answered' && response.status === 200 && isPage(response.value) ? response.value : undefined;
 };
--- a/packages/upstream/src/queries/read-load.ts
+++ b/packages/upstream/src/queries/read-load.ts
@@ -7,8 +7,8 @@
 	return typeof at === 'number' && typeof running === 'number' && typeof waiting === 'number' && Array.isArray(models);
 };
 
-/** Reads an engine's load report; undefined when it can't be read or isn't one. */
+/** Reads an engine's load report; undefined if the request fails or the response is invalid. */
 export const readLoad = async (context: ExchangeContext, address: Address): Promise<LoadReport | undefined> => {
-	const answer = await callJson(context, {address, method: 'GET', path: '/v1/load'});
-	return answer.kind === 'answered' && answer.status === 200 && isReport(answer.value) ? answer.value : undefined;
+	const response = await callJson(context, {address, method: 'GET', path: '/v1/load'});
+	return response.kind === 'answered' && response.status === 200 && isReport(response.value) ? response.value : undefined;
 };
--- a/packages/upstream/src/wire/call-json.ts
+++ b/packages/upstream/src/wire/call-json.ts
@@ -1,13 +1,13 @@
 import type {Address} from '@gentianlift/types';
 import {exchange, type ExchangeContext, type ExchangeFailure} from './exchange.js';
-import {controlTimeout} from './limits.js';
+import {controlTimeout} from './timeouts.js';
 import {readBody} from './read-body.js';
 
-/** A short call with JSON both ways. */
+/** A call whose request and response bodies are short JSON values. */
 export type JsonCall = {address: Address; method: string; path: string; value?: unknown};
 
-/** The answer to a short call; `value` is undefined when it isn't JSON. */
-export type JsonAnswer = {kind: 'answered'; status: number; value: unknown} | ExchangeFailure;
+/** The response to a JSON call; `value` is undefined if the body isn't valid JSON. */
+export type JsonResponse = {kind: 'answered'; status: number; value: unknown} | ExchangeFailure;
 
 const parseValue = (text: string): unknown => {
 	try {
@@ -17,18 +17,18 @@
 	}
 };
 
-/** Makes a short call. Never throws. */
-export const callJson = async (context: ExchangeContext, {address, method, path, value}: JsonCall): Promise<JsonAnswer> => {
+/** Makes a JSON call, limited by `controlTimeout`. Never throws. */
+export const callJson = async (context: ExchangeContext, {address, method, path, value}: JsonCall): Promise<JsonResponse> => {
 	const body = value === undefined ? {} : {body: JSON.stringify(value)};
 	const headers = {accept: 'application/json', 'content-type': 'application/json'};
-	const answer = await exchange(context, {
+	const response = await exchange(context, {
 		address, method, path, headers, ...body,
 	}, controlTimeout);
-	if (answer.kind !== 'answered') {
-		return answer;
+	if (response.kind !== 'answered') {
+		return response;
 	}
 
-	const read = await readBody(answer);
-	const status = answer.response.statusCode ?? 0;
+	const read = await readBody(response);
+	const status = response.message.statusCode ?? 0;
 	return read.kind === 'read' ? {kind: 'answered', status, value: parseValue(read.text)} : read;
 };
--- a/packages/upstream/src/wire/pool.ts
+++ b/packages/upstream/src/wire/connection-pool.ts
@@ -1,21 +1,21 @@
 import {Agent} from 'node:http';
 import type {Address, Milliseconds} from '@gentianlift/types';
 
-/** Connections to all upstreams. */
-export type Pool = {
-	/** The agent that holds the connections to one upstream. */
+/** Keep-alive connections to all upstreams. */
+export type ConnectionPool = {
+	/** Returns the agent that manages the connections to one upstream. */
 	getAgent: (address: Address) => Agent;
-	/** Closes idle connections and sends new requests over new ones; running requests keep theirs. */
+	/** Closes the idle connections to an upstream, so that new requests use new connections; in-flight requests keep theirs. */
 	replaceAgent: (address: Address) => void;
-	/** Closes all connections. */
+	/** Closes all connections, including those in use. */
 	close: () => void;
 };
 
-/** Connections to one upstream at once. */
+/** Maximum number of connections to one upstream. */
 const maxSockets = 512;
-/** Idle connections kept for one upstream. */
+/** Maximum number of idle connections to one upstream. */
 const maxFreeSockets = 32;
-/** Idle time after which a connection isn't used again. */
+/** Idle time after which a connection is closed. */
 const idleTimeout: Milliseconds = 4000;
 
 const createAgent = (): Agent => new Agent({
@@ -30,15 +30,15 @@
 	}
 };
 
-/** Creates an empty pool. */
-export const createPool = (): Pool => {
+/** Creates an empty connection pool. */
+export const createConnectionPool = (): ConnectionPool => {
 	const agents = new Map<Address, Agent>();
-	const replaced = new Set<Agent>();
+	const retiredAgents = new Set<Agent>();
 
 	const getAgent = (address: Address): Agent => {
-		const known = agents.get(address);
-		if (known !== undefined) {
-			return known;
+		const existing = agents.get(address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const agent = createAgent();
@@ -46,9 +46,9 @@
 		return agent;
 	};
 
-	const forgetIfUnused = (agent: Agent): void => {
+	const removeIfUnused = (agent: Agent): void => {
 		if (Object.keys(agent.sockets).length === 0) {
-			replaced.delete(agent);
+			retiredAgents.delete(agent);
 		}
 	};
 
@@ -61,21 +61,21 @@
 			}
 
 			agents.delete(address);
-			// A replaced agent keeps no idle connections, so those in use end with their requests.
+			// A retired agent keeps no idle connections, so each connection in use closes with its request.
 			agent.maxFreeSockets = 0;
 			closeIdleSockets(agent);
-			replaced.add(agent);
-			for (const old of replaced) {
-				forgetIfUnused(old);
+			retiredAgents.add(agent);
+			for (const retired of retiredAgents) {
+				removeIfUnused(retired);
 			}
 		},
 		close() {
-			for (const agent of [...agents.values(), ...replaced]) {
+			for (const agent of [...agents.values(), ...retiredAgents]) {
 				agent.destroy();
 			}
 
 			agents.clear();
-			replaced.clear();
+			retiredAgents.clear();
 		},
 	};
 };
--- a/packages/upstream/src/wire/refusal.ts
+++ b/packages/upstream/src/wire/error-response.ts
@@ -1,13 +1,13 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import {
-	type Failure, type Refusal, type RefusalCode, refusalCodes,
-} from '../outcome.js';
-import type {Answer, ExchangeFailure} from './exchange.js';
+	type ErrorResponse, type Refusal, type RefusalCode, refusalCodes,
+} from '../call-failure.js';
+import type {UpstreamResponse, ExchangeFailure} from './exchange.js';
 import {readBody} from './read-body.js';
 
 const millisecondsPerSecond = 1000;
 
-const getCode = (text: string): RefusalCode => {
+const parseRefusalCode = (text: string): RefusalCode => {
 	try {
 		const {error} = JSON.parse(text) as {error?: {code?: string}};
 		return refusalCodes.find(code => code === error?.code) ?? 'other';
@@ -18,19 +18,19 @@
 
 const getRefusal = (text: string, headers: IncomingHttpHeaders): Refusal => {
 	const seconds = Number(headers['retry-after']);
-	const code = getCode(text);
+	const code = parseRefusalCode(text);
 	return Number.isFinite(seconds) ? {kind: 'refused', code, retryAfter: seconds * millisecondsPerSecond} : {kind: 'refused', code};
 };
 
-/** Whether the upstream says that it didn't run the request. */
-export const isRefusal = ({statusCode, headers}: Answer['response']): boolean =>
+/** Returns whether the upstream states that it has not executed the request. */
+export const isRefusal = ({statusCode, headers}: UpstreamResponse['message']): boolean =>
 	statusCode === 503 && headers['x-ran'] === 'not-run';
 
-/** Reads an answer that is an error. */
-export const readError = async (answer: Answer): Promise<Refusal | Failure | ExchangeFailure> => {
-	const {headers, statusCode = 0} = answer.response;
-	const isRefused = isRefusal(answer.response);
-	const body = await readBody(answer);
+/** Reads the body of an error response. */
+export const readError = async (response: UpstreamResponse): Promise<Refusal | ErrorResponse | ExchangeFailure> => {
+	const {headers, statusCode = 0} = response.message;
+	const isRefused = isRefusal(response.message);
+	const body = await readBody(response);
 	if (isRefused) {
 		return getRefusal(body.kind === 'read' ? body.text : '', headers);
 	}
@@ -39,7 +39,7 @@
 		return body;
 	}
 
-	const failure: Failure = {kind: 'failed', status: statusCode, text: body.text};
+	const failure: ErrorResponse = {kind: 'failed', status: statusCode, text: body.text};
 	const contentType = headers['content-type'];
 	return contentType === undefined ? failure : {...failure, contentType};
 };
--- a/packages/upstream/src/wire/event-reader.ts
+++ b/packages/upstream/src/wire/event-reader.ts
@@ -3,108 +3,109 @@
 } from './bytes.js';
 import {createTextBuffer} from './text-buffer.js';
 
-/** Whole events found in the bytes so far. */
-export type Events = {
-	/** The events as they came, the terminal one included. */
+/** Complete events found in a piece of the stream. */
+export type ParsedEvents = {
+	/** The events byte for byte, including the terminal event. */
 	bytes: Uint8Array;
 	tokens: number;
-	/** True once the terminal event was found; bytes after it are dropped. */
+	/** Whether the terminal event was found; bytes after it are discarded. */
 	isFinished: boolean;
 };
 
-/** How the engine says that the generation ended. */
+/** Finish reason and usage that the engine reported at the end of a generation. */
 export type GenerationEnd = {
 	finishReason: string | undefined;
 	usage: Record<string, unknown> | undefined;
 };
 
-/** Finds whole events in the bytes of a generation without decoding them. */
+/** Splits the bytes of a generation into events without decoding them. */
 export type EventReader = {
-	read: (piece: Uint8Array) => Events;
-	/** Text of all content so far. */
+	read: (piece: Uint8Array) => ParsedEvents;
+	/** Returns the text of all content so far. */
 	getText: () => string;
 	getTokens: () => number;
 	getEnd: () => GenerationEnd;
-	/** Bytes held of an event that isn't whole. */
+	/** Returns the number of buffered bytes of an incomplete event. */
 	getPartialBytes: () => number;
 };
 
-type Completion = {
+type CompletionChunk = {
 	choices?: Array<{finish_reason?: string | undefined}>;
 	usage?: Record<string, unknown> | undefined;
 };
 
-/** Where an event lies, without a view on it, which would cost more than the rest of the reading. */
-type Place = {bytes: Uint8Array; start: number; end: number};
+/** Position of an event in its buffer. No subarray is created per event, as that would cost more than the rest of the parsing. */
+type EventRange = {bytes: Uint8Array; start: number; end: number};
 
-const boundary = encodeText('\n\n');
+const eventSeparator = encodeText('\n\n');
 const terminalEvent = encodeText('data: [DONE]');
 const dataPrefix = encodeText('data:');
 const contentField = encodeText('"content":');
-const quote = 0x22;
-const backslash = 0x5C;
-const space = 0x20;
-/** Events at the end of a generation that may hold its finish reason and usage. */
-const keptEvents = 3;
+const quoteByte = 0x22;
+const backslashByte = 0x5C;
+const spaceByte = 0x20;
+/** Number of last events that are searched for the finish reason and the usage. */
+const maxRecentEvents = 3;
 
 const getStringEnd = (bytes: Uint8Array, from: number, limit: number): number => {
-	let at = from;
-	while (at < limit && bytes[at] !== quote) {
-		at += bytes[at] === backslash ? 2 : 1;
+	let position = from;
+	while (position < limit && bytes[position] !== quoteByte) {
+		position += bytes[position] === backslashByte ? 2 : 1;
 	}
 
-	return at;
+	return position;
 };
 
 const getContentStart = (bytes: Uint8Array, from: number, limit: number): number | undefined => {
-	const field = findBytes(bytes, contentField, from);
-	if (field === -1 || field >= limit) {
+	const fieldStart = findBytes(bytes, contentField, from);
+	if (fieldStart === -1 || fieldStart >= limit) {
 		return undefined;
 	}
 
-	let at = field + contentField.length;
-	while (bytes[at] === space) {
-		at++;
+	let position = fieldStart + contentField.length;
+	while (bytes[position] === spaceByte) {
+		position++;
 	}
 
-	return bytes[at] === quote ? at + 1 : undefined;
+	return bytes[position] === quoteByte ? position + 1 : undefined;
 };
 
-const parseCompletion = ({bytes, start, end}: Place): Completion | undefined => {
+const parseCompletionChunk = ({bytes, start, end}: EventRange): CompletionChunk | undefined => {
 	try {
-		return JSON.parse(decodeText(bytes.subarray(start + dataPrefix.length, end))) as Completion;
+		return JSON.parse(decodeText(bytes.subarray(start + dataPrefix.length, end))) as CompletionChunk;
 	} catch {
 		return undefined;
 	}
 };
 
-const getGenerationEnd = (last: Place[], count: number): GenerationEnd => {
-	const oldest = count % keptEvents;
-	const places = [...last.slice(oldest), ...last.slice(0, oldest)];
-	const completions = places.map(place => parseCompletion(place)).filter(completion => completion !== undefined);
-	const reasons = completions.map(completion => completion.choices?.[0]?.finish_reason);
-	const usages = completions.map(completion => completion.usage);
+const getGenerationEnd = (recentEvents: EventRange[], eventCount: number): GenerationEnd => {
+	const oldestIndex = eventCount % maxRecentEvents;
+	const ranges = [...recentEvents.slice(oldestIndex), ...recentEvents.slice(0, oldestIndex)];
+	const completionChunks = ranges.map(range => parseCompletionChunk(range)).filter(completion => completion !== undefined);
+	const reasons = completionChunks.map(completion => completion.choices?.[0]?.finish_reason);
+	const usages = completionChunks.map(completion => completion.usage);
 	return {
 		finishReason: reasons.findLast(reason => typeof reason === 'string') ?? undefined,
 		usage: usages.findLast(usage => typeof usage === 'object' && usage !== null) ?? undefined,
 	};
 };
 
-/** Creates a reader for one generation. */
+/** Creates an event reader for one generation. */
 export const createEventReader = (): EventReader => {
 	const text = createTextBuffer();
-	const last: Place[] = [];
-	let count = 0;
-	let partial: Uint8Array | undefined;
-	let total = 0;
+	const recentEvents: EventRange[] = [];
+	let eventCount = 0;
+	let partialEvent: Uint8Array | undefined;
+	let totalTokens = 0;
 
+	/** Appends the content of an event to the text and returns the number of its tokens: one if it has content, otherwise none. */
 	const readEvent = (bytes: Uint8Array, start: number, end: number): number => {
 		if (!hasBytesAt(bytes, dataPrefix, start)) {
 			return 0;
 		}
 
-		last[count % keptEvents] = {bytes, start, end};
-		count++;
+		recentEvents[eventCount % maxRecentEvents] = {bytes, start, end};
+		eventCount++;
 
 		const from = getContentStart(bytes, start, end);
 		const to = from === undefined ? 0 : getStringEnd(bytes, from, end);
@@ -118,23 +119,23 @@
 
 	return {
 		read(piece) {
-			const bytes = partial === undefined ? piece : joinBytes([partial, piece]);
+			const bytes = partialEvent === undefined ? piece : joinBytes([partialEvent, piece]);
 			let start = 0;
 			let tokens = 0;
 			let isFinished = false;
-			for (let end = findBytes(bytes, boundary, 0); end !== -1 && !isFinished; end = findBytes(bytes, boundary, start)) {
+			for (let end = findBytes(bytes, eventSeparator, 0); end !== -1 && !isFinished; end = findBytes(bytes, eventSeparator, start)) {
 				isFinished = hasBytesAt(bytes, terminalEvent, start);
 				tokens += isFinished ? 0 : readEvent(bytes, start, end);
-				start = end + boundary.length;
+				start = end + eventSeparator.length;
 			}
 
-			partial = start === bytes.length || isFinished ? undefined : bytes.subarray(start);
-			total += tokens;
+			partialEvent = start === bytes.length || isFinished ? undefined : bytes.subarray(start);
+			totalTokens += tokens;
 			return {bytes: bytes.subarray(0, start), tokens, isFinished};
 		},
 		getText: text.getText,
-		getTokens: () => total,
-		getEnd: () => getGenerationEnd(last, count),
-		getPartialBytes: () => partial?.length ?? 0,
+		getTokens: () => totalTokens,
+		getEnd: () => getGenerationEnd(recentEvents, eventCount),
+		getPartialBytes: () => partialEvent?.length ?? 0,
 	};
 };
--- a/packages/upstream/src/wire/exchange.ts
+++ b/packages/upstream/src/wire/exchange.ts
@@ -5,8 +5,8 @@
 import type {Socket} from 'node:net';
 import type {Clock} from '@gentianlift/clock';
 import {splitAddress, type Address, type Milliseconds} from '@gentianlift/types';
-import type {Pool} from './pool.js';
-import {createSilenceWatch, type SilenceWatch} from './silence.js';
+import type {ConnectionPool} from './connection-pool.js';
+import {createSilenceTimer, type SilenceTimer} from './silence-timer.js';
 
 /** One request to an upstream. */
 export type UpstreamRequest = {
@@ -19,37 +19,37 @@
 	signal?: AbortSignal;
 };
 
-/** How an exchange ended without an answer. `unreachable` is certain not to have run; `reset` and `silent` may have. */
+/** Why an exchange failed. After `unreachable` the request is known not to have executed; after `reset` and `silent` it may have. */
 export type ExchangeFailure
 	= | {kind: 'unreachable'; reason: string}
 		| {kind: 'reset'; reason: string}
 		| {kind: 'silent'; after: Milliseconds}
 		| {kind: 'cancelled'};
 
-/** An answer whose body is still to be read. The reader stops `silence` and looks at `getFailure` when the body ends early. */
-export type Answer = {
+/** A response whose body has not been read yet. Whoever reads the body calls `release` at its end, and `getFailure` if it ended early. */
+export type UpstreamResponse = {
 	kind: 'answered';
-	response: IncomingMessage;
-	silence: SilenceWatch;
-	/** Why the connection was lost; undefined while it wasn't. */
+	message: IncomingMessage;
+	silenceTimer: SilenceTimer;
+	/** Returns why the connection was lost; undefined if it wasn't. */
 	getFailure: () => ExchangeFailure | undefined;
 	/** Closes the connection for the given reason. */
-	abandon: (failure: ExchangeFailure) => void;
-	/** Ends the watch and detaches the abort signal once the body has been read. */
-	finish: () => void;
+	abort: (failure: ExchangeFailure) => void;
+	/** Stops the silence timer and detaches the abort signal after the body has been read. */
+	release: () => void;
 };
 
 /** Dependencies of an exchange. */
-export type ExchangeContext = {clock: Clock; pool: Pool};
+export type ExchangeContext = {clock: Clock; pool: ConnectionPool};
 
-/** Time to get a connection, whether new or from the pool. */
+/** Timeout for getting a connection, new or from the pool. */
 const connectTimeout: Milliseconds = 2000;
-/** Idle time after which the kernel probes the other end of a connection. */
-const probeDelay: Milliseconds = 5000;
+/** Idle time after which the kernel sends TCP keep-alive probes. */
+const keepAliveProbeDelay: Milliseconds = 5000;
 
 const ignoreError = (): void => undefined;
 
-const open = (context: ExchangeContext, {address, method, path, headers, body}: UpstreamRequest): ClientRequest => {
+const openRequest = (context: ExchangeContext, {address, method, path, headers, body}: UpstreamRequest): ClientRequest => {
 	const length = body === undefined ? {} : {'content-length': Buffer.byteLength(body)};
 	const request = createRequest({
 		...splitAddress(address), method, path, headers: {...headers, ...length}, agent: context.pool.getAgent(address),
@@ -58,58 +58,58 @@
 	return request;
 };
 
-const onConnected = (request: ClientRequest, run: () => void): void => {
+const onConnected = (request: ClientRequest, callback: () => void): void => {
 	request.once('socket', (socket: Socket) => {
-		socket.setKeepAlive(true, probeDelay);
+		socket.setKeepAlive(true, keepAliveProbeDelay);
 		if (socket.connecting) {
-			socket.once('connect', run);
+			socket.once('connect', callback);
 		} else {
-			run();
+			callback();
 		}
 	});
 };
 
-/** Sends a request and resolves with its answer's head, or with why there is none. Never throws. */
-export const exchange = async (context: ExchangeContext, wanted: UpstreamRequest, limit: Milliseconds): Promise<Answer | ExchangeFailure> => new Promise(resolve => {
-	if (wanted.signal?.aborted) {
+/** Sends a request and resolves when the head of the response arrives, or with the reason why there is none. Never throws. */
+export const exchange = async (context: ExchangeContext, options: UpstreamRequest, silenceTimeout: Milliseconds): Promise<UpstreamResponse | ExchangeFailure> => new Promise(resolve => {
+	if (options.signal?.aborted) {
 		resolve({kind: 'cancelled'});
 		return;
 	}
 
 	let isConnected = false;
 	let failure: ExchangeFailure | undefined;
-	const request = open(context, wanted);
-	const fail = (next: ExchangeFailure): void => {
-		failure ??= next;
+	const request = openRequest(context, options);
+	const fail = (newFailure: ExchangeFailure): void => {
+		failure ??= newFailure;
 		request.destroy();
 	};
 
-	const silence = createSilenceWatch(context.clock, connectTimeout, after => {
-		const {address} = wanted;
+	const silenceTimer = createSilenceTimer(context.clock, connectTimeout, after => {
+		const {address} = options;
 		context.pool.replaceAgent(address);
 		fail(isConnected ? {kind: 'silent', after} : {kind: 'unreachable', reason: 'connect-timeout'});
 	});
-	const abort = (): void => {
+	const onAbort = (): void => {
 		fail({kind: 'cancelled'});
 	};
 
-	const finish = (): void => {
-		silence.stop();
-		wanted.signal?.removeEventListener('abort', abort);
+	const release = (): void => {
+		silenceTimer.stop();
+		options.signal?.removeEventListener('abort', onAbort);
 	};
 
-	wanted.signal?.addEventListener('abort', abort, {once: true});
+	options.signal?.addEventListener('abort', onAbort, {once: true});
 	onConnected(request, () => {
 		isConnected = true;
-		silence.touch();
-		silence.setLimit(limit);
+		silenceTimer.recordActivity();
+		silenceTimer.setLimit(silenceTimeout);
 	});
-	request.once('response', response => {
-		silence.touch();
-		// A lost connection is told by the response's end; without a listener its error would end the process.
-		response.on('error', ignoreError);
+	request.once('response', message => {
+		silenceTimer.recordActivity();
+		// The body's reader learns of a lost connection from the end of the stream; an error event without a listener would end the process.
+		message.on('error', ignoreError);
 		resolve({
-			kind: 'answered', response, silence, finish, abandon: fail, getFailure: () => failure,
+			kind: 'answered', message, silenceTimer, release, abort: fail, getFailure: () => failure,
 		});
 	});
 	request.on('error', (error: NodeJS.ErrnoException) => {
@@ -117,8 +117,8 @@
 		failure ??= isConnected ? {kind: 'reset', reason} : {kind: 'unreachable', reason};
 	});
 	request.once('close', () => {
-		finish();
+		release();
 		resolve(failure ?? {kind: 'reset', reason: 'closed'});
 	});
-	request.end(wanted.body);
+	request.end(options.body);
 });
--- a/packages/upstream/src/wire/limits.ts
+++ b/packages/upstream/src/wire/timeouts.ts
@@ -1,4 +1,4 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Silence after which a short call, such as a report or an order, is given up. */
+/** Silence timeout of short control calls, such as reading a load report or sending an order. */
 export const controlTimeout: Milliseconds = 3000;
