--- a/packages/types/src/address.ts
+++ b/packages/types/src/address.ts
@@ -1,7 +1,7 @@
 import type {Address} from './ids.js';
 
-/** Splits an address into its IP address, an IPv6 one without brackets, and its port. */
+/** Splits an address into its IP address and its port; brackets around an IPv6 address are removed. */
 export const splitAddress = (address: Address): {host: string; port: number} => {
-	const at = address.lastIndexOf(':');
-	return {host: address.slice(0, at).replaceAll(/[\[\]]/gv, ''), port: Number(address.slice(at + 1))};
+	const separatorIndex = address.lastIndexOf(':');
+	return {host: address.slice(0, separatorIndex).replaceAll(/[\[\]]/gv, ''), port: Number(address.slice(separatorIndex + 1))};
 };
--- a/packages/types/src/claim.ts
+++ b/packages/types/src/claim.ts
@@ -2,22 +2,22 @@
 	ClassName, CustomerId, HostId, Incarnation, Milliseconds, RequestId, UpstreamId,
 } from './ids.js';
 
-/** Identity of a non-idempotent request: its customer and the caller's key. */
+/** Identity of a non-idempotent request: its customer and the caller's idempotency key. */
 export type ClaimKey = {
 	customer: CustomerId;
 	key: string;
 };
 
-/** Outcome of a claimed request as kept in the key-value service. */
+/** Outcome of a claimed request, as stored in the key-value service. */
 export type ClaimOutcome
 	= | {kind: 'claimed'}
 		| {kind: 'finished'; status: number; contentType?: string; body?: string}
 		| {kind: 'not-run'}
 		| {kind: 'unknown'; reason: string};
 
-/** A claim as kept in the key-value service. */
+/** A host's claim to execute a non-idempotent request at most once, as stored in the key-value service. */
 export type Claim = ClaimKey & {
-	/** Digest of method, path and body. */
+	/** Digest of the request's method, path and body. */
 	digest: string;
 	className?: ClassName;
 	request: RequestId;
@@ -26,12 +26,12 @@
 	claimedAt: Milliseconds;
 	settledAt?: Milliseconds;
 	upstream?: UpstreamId;
-	/** Earlier attempts under the key that did not run, and never will; the latest few. */
+	/** Ids of the latest earlier requests under this key that did not run and never will. */
 	givenUp?: RequestId[];
 	outcome: ClaimOutcome;
 };
 
-/** Answer to a host that wants to start a non-idempotent request. */
+/** Decision on whether a host may start a non-idempotent request. */
 export type ClaimDecision
 	= | {kind: 'start'; claim: Claim}
 		| {kind: 'in-progress'; claim: Claim}
@@ -40,7 +40,7 @@
 		| {kind: 'mismatch'}
 		| {kind: 'expired'}
 		| {kind: 'full'}
-		/** The key's own time is too far ahead. */
+		/** The time encoded in the key is too far in the future. */
 		| {kind: 'invalid'; reason: string}
-		/** Not started. `undetermined` if the claim may be stored even so, and has to be released. */
+		/** The request must not start. If `undetermined`, the claim may nevertheless be stored and has to be released. */
 		| {kind: 'unavailable'; reason: string; undetermined?: boolean};
--- a/packages/types/src/engine.ts
+++ b/packages/types/src/engine.ts
@@ -1,32 +1,32 @@
 import type {Milliseconds, ModelName, UpstreamId} from './ids.js';
 import type {EngineRole} from './inventory.js';
 
-/** Load report of an engine, `GET /v1/load`; it lags behind the truth. */
+/** Load report of an engine, from `GET /v1/load`; it lags behind the actual load. */
 export type LoadReport = {
-	/** Moment at the engine that the figures describe, in milliseconds since the epoch. */
+	/** Time of the measurement by the engine's clock, in milliseconds since the epoch. */
 	at: Milliseconds;
 	running: number;
 	waiting: number;
-	/** Part of the KV cache in use, from 0 to 1. */
+	/** Fraction of the KV cache in use, from 0 to 1. */
 	cacheUse: number;
-	/** Output tokens a second over the last few seconds. */
+	/** Output tokens per second over the last few seconds. */
 	tokensPerSecond: number;
 	models: ModelName[];
 	adapters: ModelName[];
 	role: EngineRole;
-	/** True once the engine takes no new work. */
+	/** Whether the engine no longer accepts requests. */
 	leaving: boolean;
 };
 
-/** A prefix stored in or evicted from an engine's cache; `sequence` has gaps where events were lost. */
+/** A prompt prefix stored in or evicted from an engine's KV cache; a gap in `sequence` means that events were lost. */
 export type CacheEvent = {
 	sequence: number;
 	kind: 'stored' | 'evicted';
-	/** Digest of the chunk and all before it, as sent in the `x-prefix` header. */
+	/** Digest of the prompt chunk and all chunks before it, as sent in the `x-prefix` header. */
 	chunk: string;
 };
 
-/** What an order asks of an engine. */
+/** What an order instructs an engine to do. */
 export type EngineOrder
 	= | {kind: 'load'; model: ModelName; version: string}
 		| {kind: 'unload'; model: ModelName}
@@ -34,22 +34,22 @@
 		| {kind: 'unload-adapter'; adapter: ModelName}
 		| {kind: 'change-role'; role: EngineRole};
 
-/** An order as sent to `POST /v1/orders` of an engine. */
+/** An order with its fencing number, as sent to `POST /v1/orders` of an engine. */
 export type FencedOrder = {
-	/** Repeats of the same id have no further effect. */
+	/** Identifies the order for deduplication: an engine executes repeats of an id only once. */
 	id: string;
 	fencingNumber: number;
 	order: EngineOrder;
 };
 
-/** What an engine answers to an order. */
+/** Outcome of sending an order to an engine; `stale` if the engine has seen a higher fencing number, `unknown` if the order may have been executed. */
 export type OrderOutcome
 	= | {kind: 'accepted'}
 		| {kind: 'stale'; highest: number}
 		| {kind: 'refused'; reason: string}
 		| {kind: 'unknown'; reason: string};
 
-/** What a host has seen of an upstream, beside its load reports. */
+/** One observation of an upstream's health by a host, from a request, a probe or a notice. */
 export type UpstreamSighting = {
 	upstream: UpstreamId;
 	at: Milliseconds;
--- a/packages/types/src/grant.ts
+++ b/packages/types/src/grant.ts
@@ -2,48 +2,48 @@
 	type CustomerId, type GroupId, type HostId, type Incarnation, type Milliseconds, type Rank, type RequestId, type UpstreamId, type ClassName,
 } from './ids.js';
 
-/** What the owner of a group has to know of a waiting request to order it. */
+/** A request's ticket: everything that the owner of a group needs to order and place the request. */
 export type Ticket = {
 	request: RequestId;
-	/** Rises when the same request asks again, after a preemption or a retry. */
+	/** Increases when the same request needs another grant, after a preemption or a retry. */
 	attempt: number;
 	customer: CustomerId;
 	weight: number;
 	className: ClassName;
 	rank: Rank;
-	/** Time left till the deadline, counted from when the message is sent, since clocks of hosts differ. */
+	/** Remaining time to the deadline when the message is sent; relative, because the clocks of hosts differ. */
 	slack: Milliseconds;
-	/** Time that the request has waited so far. */
+	/** Time that the request has been queued so far. */
 	waited: Milliseconds;
 	expectedTokens: number;
 	promptTokens: number;
-	/** Names of what the upstream must hold: the model and adapter, or the service. */
+	/** Names of what the upstream must provide: the model and adapter, or the service. */
 	needs: string[];
-	/** Digests of prompt chunks, longest prefix last. */
+	/** Digests of the prompt's prefixes, the longest last. */
 	prefix: string[];
-	/** Upstreams that this request must not go to again. */
+	/** Upstreams to which this request must not be sent again. */
 	avoid: UpstreamId[];
-	/** True while the request is suspected of crashing upstreams and must run alone. */
+	/** Whether the request is suspected of crashing upstreams and must not run together with another suspected request. */
 	isolated: boolean;
 	idempotent: boolean;
-	/** Same for resends of the request under other ids. */
+	/** Digest that stays the same when a caller sends the request again under another id. */
 	fingerprint: string;
-	/** How often the request has yielded its slot; 0 if absent. */
+	/** Number of times that the request has yielded its slot; 0 if absent. */
 	yields?: number;
-	/** True once part of the answer has reached the caller: such a request is no longer shed for its target. */
+	/** Whether part of the response has reached the caller; such a request is no longer shed for missing its target. */
 	resumed?: boolean;
 };
 
-/** A ticket's end at the host that asked. */
+/** The end of a ticket, as reported by the host that requested the grant. */
 export type TicketEnd = {
 	request: RequestId;
 	attempt: number;
 	kind: 'finished' | 'failed' | 'cancelled' | 'preempted' | 'withdrawn';
-	/** Service used, for fairness and estimates. */
+	/** Number of tokens processed, for fair sharing and estimates. */
 	tokens: number;
 	firstTokenAfter?: Milliseconds;
 	duration: Milliseconds;
-	/** True when the upstream crashed while it ran the request. */
+	/** Whether the upstream crashed while it ran the request. */
 	crashed?: boolean;
 };
 
@@ -52,42 +52,42 @@
 	host: HostId;
 	incarnation: Incarnation;
 	group: GroupId;
-	/** Rises with each batch, so that a repeated or late one is recognised. */
+	/** Increases with each batch, so that duplicate and out-of-order batches are detected. */
 	sequence: number;
 	asks: Ticket[];
 	ends: TicketEnd[];
-	/** Requests still waiting or running at the host, sent with a heartbeat so that lost messages heal. */
+	/** All requests still queued or running at the host. Sent with a heartbeat, so that the owner recovers from lost messages. */
 	held?: HeldTicket[];
 };
 
-/** A request that waits or runs at the host that asked. */
+/** A request that is queued or running, as reported by its host. */
 export type HeldTicket = {
 	request: RequestId;
 	attempt: number;
-	/** Where it runs; absent while it waits. */
+	/** Upstream that runs it; absent while it is queued. */
 	upstream?: UpstreamId;
-	/** Sent when the owner doesn't know the ticket: after a change of owner, or on its wish. */
+	/** Sent if the owner may not know the ticket: after a change of owner, or when the owner requests it. */
 	ticket?: Ticket;
 };
 
-/** The owner's decision on a ticket. */
+/** The owner's decision on a ticket; `yield` tells a running request to give up its slot. */
 export type Decision
 	= | {kind: 'granted'; request: RequestId; attempt: number; upstream: UpstreamId; priority: number}
 		| {kind: 'waiting'; request: RequestId; attempt: number; expectedWait: Milliseconds}
 		| {kind: 'shed'; request: RequestId; attempt: number; reason: ShedReason; retryAfter: Milliseconds}
 		| {kind: 'yield'; request: RequestId; attempt: number};
 
-/** Why a waiting request is refused. */
+/** Reasons for shedding a queued request. */
 export const shedReasons = ['deadline-unreachable', 'queue-full', 'queue-age', 'no-upstream', 'outranked', 'crashes-upstreams'] as const;
 /** One of `shedReasons`. */
 export type ShedReason = typeof shedReasons[number];
 
-/** One batch from the owner of a group to a host: an answer, or pushed when a slot comes free. */
+/** One batch of decisions from the owner of a group to a host, in response to a request or pushed when a slot becomes free. */
 export type GrantAnswer = {
-	/** False when the host that answers doesn't own the group. */
+	/** Whether the responding host owns the group. */
 	owner: boolean;
 	group: GroupId;
 	decisions: Decision[];
-	/** Held requests whose tickets the owner doesn't know; the host sends them. */
+	/** Reported requests whose tickets the owner doesn't know, and which the host sends next. */
 	wanted?: RequestId[];
 };
--- a/packages/types/src/ids.ts
+++ b/packages/types/src/ids.ts
@@ -1,7 +1,7 @@
-/** Name of an entry host, unique in the fleet, from its settings. */
+/** Name of a router host, from its settings; unique in the fleet. */
 export type HostId = string;
 
-/** Increases each time a process of the same host starts: milliseconds since the epoch at its start. */
+/** Incarnation number of a host's process: the time of its start in milliseconds since the epoch, so that it increases with each restart. */
 export type Incarnation = number;
 
 /** Name of an availability zone. */
@@ -19,20 +19,20 @@
 /** Name of a tier in the rules. */
 export type TierName = string;
 
-/** Position of a tier: 0 outranks 1, and so on. */
+/** Position of a tier; lower numbers have higher priority, starting at 0. */
 export type Rank = number;
 
 /** Name of a model or an adapter in the inventory. */
 export type ModelName = string;
 
-/** Identifier that the router gives to a caller's request, unique over all hosts: `<host>.<incarnation>.<sequence>`. */
+/** Identifier that the router assigns to a caller's request, unique across all hosts: `<host>.<incarnation>.<sequence>`. */
 export type RequestId = string;
 
-/** Name of a group of upstreams whose work one host orders. */
+/** Name of a group of upstreams whose requests are scheduled by one host, the group's owner. */
 export type GroupId = string;
 
-/** A span of time or a moment, in milliseconds. */
+/** A duration or a point in time, in milliseconds. */
 export type Milliseconds = number;
 
-/** An IP address and a port, written `address:port`. */
+/** An IP address and a port in the form `address:port`. */
 export type Address = string;
--- a/packages/types/src/inventory.ts
+++ b/packages/types/src/inventory.ts
@@ -2,84 +2,84 @@
 	Address, ClassName, CustomerId, Milliseconds, ModelName, TierName, UpstreamId, Zone,
 } from './ids.js';
 
-/** What part of a generation an engine takes on. */
+/** Phases of a generation that an engine executes: prefill, decode, or both. */
 export const engineRoles = ['mixed', 'prefill', 'decode'] as const;
 /** One of `engineRoles`. */
 export type EngineRole = typeof engineRoles[number];
 
-/** Whether an upstream refuses an order with an old fencing number, or ignores the number. */
+/** Whether an engine rejects an order with an old fencing number or ignores the number. */
 export const fencingKinds = ['checked', 'ignored'] as const;
 /** One of `fencingKinds`. */
 export type Fencing = typeof fencingKinds[number];
 
-/** A model engine of the asset register. */
+/** A model engine, from the operators' asset register. */
 export type Engine = {
 	id: UpstreamId;
 	address: Address;
 	zone: Zone;
-	/** Models that the engine may hold; which of them are loaded is in its load report. */
+	/** Models that the engine may load; its load report lists those that are loaded. */
 	models: ModelName[];
 	adapters: ModelName[];
 	role: EngineRole;
 	accelerators: number;
-	/** Generations that the engine runs at once before it queues. */
+	/** Number of generations that the engine runs concurrently; it queues any more. */
 	slots: number;
 	fencing: Fencing;
 };
 
-/** A model. */
+/** A language model. */
 export type Model = {
 	name: ModelName;
 	/** Size of the weights in bytes. */
 	bytes: number;
-	/** Longest context in tokens. */
+	/** Maximum length of the context in tokens. */
 	contextTokens: number;
 };
 
-/** An adapter on top of a model. */
+/** An adapter for a base model. */
 export type Adapter = {
 	name: ModelName;
 	model: ModelName;
 	bytes: number;
 };
 
-/** One process of an application service. */
+/** One instance of an application service. */
 export type ServiceInstance = {
 	id: UpstreamId;
 	address: Address;
 	zone: Zone;
-	/** Calls that the instance runs at once. */
+	/** Number of calls that the instance executes concurrently. */
 	slots: number;
 };
 
-/** An application service that the system routes to under `/v1/services/<name>/`. */
+/** An application service, whose calls are routed under `/v1/services/<name>/`. */
 export type Service = {
 	name: string;
 	instances: ServiceInstance[];
 };
 
-/** Limits of one customer, over all hosts. */
+/** Limits of one customer, enforced across all hosts. */
 export type CustomerLimits = {
 	requestsPerSecond: number;
 	tokensPerSecond: number;
 	concurrency: number;
 };
 
-/** A customer and the digests of its keys. */
+/** A customer with the digests of its API keys. */
 export type Customer = {
 	id: CustomerId;
-	/** SHA-256 digests of the customer's keys, in lower-case hex. */
+	/** SHA-256 digests of the customer's API keys, in lower-case hexadecimal. */
 	keyDigests: string[];
-	/** Share of service inside a tier, relative to the other customers. */
+	/** Weight in fair sharing among the customers of a tier. */
 	weight: number;
-	/** IANA name of the time zone in which the customer's hours are read. */
+	/** IANA name of the time zone to which the hours of latency targets refer. */
 	timeZone: string;
 	limits: CustomerLimits;
-	/** Classes that the customer may ask for; the first is the default. */
+	/** Classes that the customer may use; the first is the default. */
 	classes: ClassName[];
 };
 
-/** What the operators run, from their asset register. */
+/** Engines, models, services and customers, from the operators' asset register. */
 export type Inventory = {
 	engines: Engine[];
 	models: Model[];
@@ -88,33 +88,33 @@
 	customers: Customer[];
 };
 
-/** A tier; tiers are listed from the highest to the lowest after validation. */
+/** A priority tier; after validation, tiers are listed from the highest to the lowest. */
 export type Tier = {
 	name: TierName;
-	/** Tiers that this tier outranks. */
+	/** Tiers that have lower priority than this one. */
 	outranks: TierName[];
-	/** Least share of each engine group's service that the tier gets while it waits, from 0 to 1. */
+	/** Guaranteed minimum fraction of each engine group's capacity while requests of the tier are queued, from 0 to 1. */
 	floor: number;
 };
 
-/** Latency targets of a class; absent fields are not judged. */
+/** Latency targets of a class; an absent field sets no target. */
 export type Targets = {
 	firstToken?: Milliseconds;
 	betweenTokens?: Milliseconds;
 	whole?: Milliseconds;
 };
 
-/** Targets in force from one time of day up to another, in the customer's time zone. */
+/** Latency targets that apply between two times of day in the customer's time zone. */
 export type HourlyTargets = {
-	/** Start, `HH:MM`, inclusive. */
+	/** Start as `HH:MM`, inclusive. */
 	from: string;
-	/** End, `HH:MM`, exclusive; `24:00` is the end of the day. */
+	/** End as `HH:MM`, exclusive; `24:00` is the end of the day. */
 	to: string;
 	targets: Targets;
 };
 
-/** How a request is recognised as one of the class; each present field must match. */
-export type Match = {
+/** Condition under which a request belongs to a class; all fields that are present must match. */
+export type ClassMatch = {
 	models?: ModelName[];
 	service?: string;
 	method?: string;
@@ -125,17 +125,17 @@
 export type RequestClass = {
 	name: ClassName;
 	tier: TierName;
-	/** False for a request that must run at most once. */
+	/** Whether requests of the class may run more than once. */
 	idempotent: boolean;
-	match: Match;
+	match: ClassMatch;
 	hours: HourlyTargets[];
-	/** Output length assumed until one is learned, in tokens. */
+	/** Output length in tokens that is assumed until one has been estimated from requests. */
 	expectedTokens: number;
-	/** Retries allowed, as a share of the class's requests, over all hosts. */
+	/** Maximum ratio of retries to requests of the class, across all hosts. */
 	retryShare: number;
 };
 
-/** Rules on top of the inventory. */
+/** Tiers and classes by which requests are scheduled. */
 export type Rules = {
 	tiers: Tier[];
 	classes: RequestClass[];
@@ -147,11 +147,11 @@
 	rules: Rules;
 };
 
-/** A configuration that was accepted, with its place in the order of versions. */
+/** An accepted configuration with its version number. */
 export type ConfigurationVersion = {
-	/** Rises by one with each accepted change; the first is 1. */
+	/** Starts at 1 and increases by one with each accepted change. */
 	version: number;
-	/** Unique text of the write, which tells whether an ambiguous write took effect. */
+	/** Unique token of the write, by which a writer detects whether a write with an unknown outcome took effect. */
 	token: string;
 	author: string;
 	acceptedAt: Milliseconds;
--- a/packages/types/src/key-value.ts
+++ b/packages/types/src/key-value.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds} from './ids.js';
 
-/** A value of the key-value service with the revision that compare-and-swap names; revision 0 means absent. */
+/** An entry of the key-value service with its revision, as compare-and-swap requires it; revision 0 means absent. */
 export type Entry = {
 	key: string;
 	value: string;
@@ -13,19 +13,19 @@
 		| {kind: 'absent'}
 		| {kind: 'unavailable'; reason: string};
 
-/** Outcome of a compare-and-swap; `unknown` may take effect now, later or never. */
+/** Outcome of a compare-and-swap; after `unknown`, the write may have taken effect, or may do so later or never. */
 export type WriteOutcome
 	= | {kind: 'applied'; revision: number}
 		| {kind: 'rejected'; revision: number}
 		| {kind: 'unavailable'; reason: string}
 		| {kind: 'unknown'; reason: string};
 
-/** Outcome of a list. */
+/** Outcome of listing entries. */
 export type ListOutcome
 	= | {kind: 'found'; entries: Entry[]}
 		| {kind: 'unavailable'; reason: string};
 
-/** Outcome of a watch: one change, or silence up to the limit. */
+/** Outcome of a watch: one change, or none within the time limit. */
 export type WatchOutcome
 	= | {kind: 'changed'; entry: Entry}
 		| {kind: 'unchanged'}
@@ -38,15 +38,15 @@
 		| {kind: 'unavailable'; reason: string}
 		| {kind: 'unknown'; reason: string};
 
-/** The port to the platform's key-value service. Every call ends within the client's time limit and none throws. */
+/** Port of the platform's key-value service. Every call resolves within the client's timeout, and none throws. */
 export type KeyValueService = {
 	read: (key: string) => Promise<ReadOutcome>;
 	list: (prefix: string) => Promise<ListOutcome>;
-	/** Writes `value` if the key's revision is `expected` (0: absent). A `lease` removes the entry when it ends. */
+	/** Writes `value` if the key's revision is `expected`, where 0 means absent. If a `lease` is given, the entry is removed when the lease ends. */
 	compareAndSwap: (write: {key: string; value: string; expected: number; lease?: string}) => Promise<WriteOutcome>;
 	/** Removes the entry if its revision is `expected`. */
 	remove: (key: string, expected: number) => Promise<WriteOutcome>;
-	/** Resolves when the revision of the key passes `after`, or after `limit`. */
+	/** Resolves when the revision of the key exceeds `after`, or when `limit` has elapsed. */
 	watch: (key: string, after: number, limit: Milliseconds) => Promise<WatchOutcome>;
 	grantLease: (duration: Milliseconds) => Promise<LeaseOutcome>;
 	renewLease: (lease: string) => Promise<LeaseOutcome>;
@@ -58,7 +58,7 @@
 	= | {kind: 'written'; entry: Entry}
 		| {kind: 'removed'; key: string; revision: number};
 
-/** All entries, and the revision after which changes are still to be read. */
+/** All entries, and the revision after which subsequent changes follow. */
 export type Snapshot = {entries: Entry[]; revision: number};
 
 /** Outcome of reading all entries. */
@@ -66,15 +66,15 @@
 	= | {kind: 'found'; snapshot: Snapshot}
 		| {kind: 'unavailable'; reason: string};
 
-/** Outcome of waiting for changes; `compacted` if the changes after the revision are no longer known. */
+/** Outcome of waiting for changes; `compacted` if the service no longer has all changes after the revision. */
 export type ChangesOutcome
 	= | {kind: 'changed'; changes: Change[]; revision: number}
 		| {kind: 'compacted'}
 		| {kind: 'unavailable'; reason: string};
 
-/** The port to a key-value service whose entries are all followed. No call throws. */
+/** Port of a key-value service for following the changes of all entries. No call throws. */
 export type ChangeFeed = {
 	readAll: () => Promise<SnapshotOutcome>;
-	/** Resolves when there are changes after `revision`, or after `limit` with none. */
+	/** Resolves when there are changes after `revision`, or without changes when `limit` has elapsed. */
 	waitForChanges: (revision: number, limit: Milliseconds) => Promise<ChangesOutcome>;
 };
--- a/packages/types/src/membership.ts
+++ b/packages/types/src/membership.ts
@@ -2,30 +2,30 @@
 	Address, HostId, Incarnation, Milliseconds, Zone,
 } from './ids.js';
 
-/** How a host stands in the view of another. */
+/** States of a host in the membership view of another. */
 export const hostStates = ['alive', 'suspected', 'draining', 'gone'] as const;
 /** One of `hostStates`. */
 export type HostState = typeof hostStates[number];
 
-/** One host as the members see it. */
+/** A host in the membership view. */
 export type Member = {
 	host: HostId;
 	incarnation: Incarnation;
 	zone: Zone;
-	/** Where callers connect. */
+	/** Address for callers. */
 	callerAddress: Address;
-	/** Where the other hosts connect over TCP, for typed calls. */
+	/** TCP address for calls from other hosts. */
 	peerAddress: Address;
-	/** Where membership messages arrive over UDP. */
+	/** UDP address for membership messages. */
 	gossipAddress: Address;
 	state: HostState;
-	/** Newest configuration version in force at the host. */
+	/** Version of the configuration that the host applies. */
 	configurationVersion: number;
-	/** How full the host is, from 0 to 1. */
+	/** Load of the host, from 0 (idle) to 1 (full). */
 	load: number;
 };
 
-/** A host as the platform's host list has it; the list lags. */
+/** An entry of the platform's host list, which lags behind the actual state. */
 export type ListedHost = {
 	id: string;
 	kind: 'entry' | 'upstream';
@@ -34,21 +34,21 @@
 	state: 'live' | 'leaving';
 };
 
-/** The port to the platform's host list. */
+/** Port of the platform's host list. */
 export type HostList = {
-	/** Undefined when the list can't be read. */
+	/** Reads all entries; undefined if the list can't be read. */
 	readHosts: () => Promise<ListedHost[] | undefined>;
 };
 
-/** The port to the weight store. */
+/** Port of the store from which engines load model weights. */
 export type WeightStore = {
-	/** Bytes a second that all loads share, and the bytes under way; undefined when the store can't be read. */
+	/** Reads the bandwidth that all downloads share, in bytes per second, and the bytes of the downloads in progress; undefined if the store can't be read. */
 	readRate: () => Promise<{bytesPerSecond: number; bytesUnderWay: number} | undefined>;
 };
 
-/** Address list for callers, `GET /v1/hosts`. */
+/** List of host addresses for callers, the response of `GET /v1/hosts`. */
 export type HostAnswer = {
 	hosts: Array<{host: HostId; address: Address; zone: Zone; weight: number}>;
-	/** How long the caller may keep the answer. */
+	/** Time for which the caller may cache the response. */
 	timeToLive: Milliseconds;
 };
--- a/packages/types/src/request.ts
+++ b/packages/types/src/request.ts
@@ -3,16 +3,16 @@
 } from './ids.js';
 import type {Targets} from './inventory.js';
 
-/** What a request asks for. */
+/** The work that a request asks for: a generation by a model, or a call to a service. */
 export type Work
 	= | {kind: 'generation'; model: ModelName; adapter?: ModelName; promptTokens: number; maxTokens: number; stream: boolean; prefix: string[]}
 		| {kind: 'call'; service: string; method: string; path: string};
 
-/** A request after classification: plain data for every decision about it. */
+/** A request after classification, with all data that decisions about it need. */
 export type ClassifiedRequest = {
 	id: RequestId;
 	customer: CustomerId;
-	/** Share of service of the customer inside its tier. */
+	/** Weight of the customer in fair sharing within its tier. */
 	weight: number;
 	className: ClassName;
 	tier: TierName;
@@ -20,20 +20,20 @@
 	idempotent: boolean;
 	arrivedAt: Milliseconds;
 	targets: Targets;
-	/** Moment after which the answer misses its target: the first token's for a generation, the whole answer's for a call. */
+	/** Time by which the latency target has to be met: by the first token of a generation, by the complete response of a call. */
 	deadline: Milliseconds;
-	/** Output tokens that the class is expected to take. */
+	/** Expected number of output tokens. */
 	expectedTokens: number;
 	work: Work;
-	/** Key of a non-idempotent request. */
+	/** Idempotency key; present on non-idempotent requests. */
 	idempotencyKey?: string;
-	/** Digest of method, path and body, in lower-case hex. */
+	/** Digest of method, path and body, in lower-case hexadecimal. */
 	digest: string;
-	/** Digest of the model and the normalised prompt, the same for resends under other ids. */
+	/** Digest of the model and the normalised prompt; stays the same when a caller sends the request again under another id. */
 	fingerprint: string;
 };
 
-/** Whether a request ran at an upstream, as the caller is told. */
+/** Whether a request was executed by an upstream, as reported to the caller. */
 export const runStates = ['ran', 'not-run', 'unknown'] as const;
 /** One of `runStates`. */
 export type RunState = typeof runStates[number];
@@ -44,16 +44,16 @@
 	startedAt: Milliseconds;
 	endedAt?: Milliseconds;
 	outcome: AttemptOutcome;
-	/** Output tokens that reached the router. */
+	/** Number of output tokens that the router received. */
 	tokens: number;
 };
 
-/** How an attempt stands. */
+/** States and outcomes of an attempt. */
 export const attemptOutcomes = ['running', 'finished', 'refused', 'unreachable', 'reset', 'silent', 'cancelled', 'preempted', 'failed'] as const;
 /** One of `attemptOutcomes`. */
 export type AttemptOutcome = typeof attemptOutcomes[number];
 
-/** Where a request stands. */
+/** State of a request, as reported to its caller. */
 export type AccountState
 	= | {kind: 'refused'; error: string; at: Milliseconds; retryAfter?: Milliseconds}
 		| {kind: 'waiting'; since: Milliseconds}
@@ -63,7 +63,7 @@
 		| {kind: 'cancelled'; at: Milliseconds}
 		| {kind: 'unknown'; reason: string; at: Milliseconds};
 
-/** The account of one request, as `GET /v1/requests/<id>` gives it. */
+/** Record of one request, as returned by `GET /v1/requests/<id>`. */
 export type Account = {
 	id: RequestId;
 	customer: CustomerId;
--- a/packages/types/src/settings.ts
+++ b/packages/types/src/settings.ts
@@ -2,21 +2,22 @@
 	type Address, type HostId, type Zone, type Milliseconds,
 } from './ids.js';
 
-/** Bounds on what a caller may send and on how long it may take. */
+/** Limits on the size of a caller's request, on the time to receive it and on connections. */
 export type CallerLimits = {
 	headerBytes: number;
 	bodyBytes: number;
 	headerTimeout: Milliseconds;
 	bodyTimeout: Milliseconds;
-	/** Connections open at once. */
+	/** Maximum number of open connections. */
 	connections: number;
 };
 
-/** Silence after which a connection is taken as lost, per leg. */
+/** Silence timeouts by the other end of the connection: time without any data after which a connection counts as lost. */
 export type SilenceLimits = {
 	caller: Milliseconds;
-	/** Up to the first token. */
+	/** For an engine's response, until its first token. */
 	firstToken: Milliseconds;
+	/** For an engine's response, after its first token. */
 	betweenTokens: Milliseconds;
 	service: Milliseconds;
 	peer: Milliseconds;
@@ -34,20 +35,20 @@
 	gossipAddress: Address;
 	/** Keys that authenticate messages between hosts: the first signs, any is accepted. */
 	peerKeys: string[];
-	/** Peer and gossip addresses of some hosts to find the others through. */
+	/** Hosts from which a starting host learns of the others. */
 	seeds: Array<{host: HostId; peerAddress: Address; gossipAddress: Address}>;
 	keyValueUrl: string;
 	hostListUrl: string;
 	weightStoreUrl: string;
 	logLevel: 'trace' | 'debug' | 'info' | 'warn' | 'error';
-	/** How long callers may keep an answer of `GET /v1/hosts`. */
+	/** Time for which callers may cache a response of `GET /v1/hosts`. */
 	addressTimeToLive: Milliseconds;
 	callerLimits: CallerLimits;
 	silenceLimits: SilenceLimits;
-	/** Seed of random choices; drawn from the clock when absent. */
+	/** Seed of the random number generator; derived from the clock if absent. */
 	seed?: number;
-	/** Way of ordering work; the baselines are for measurements. */
+	/** How queued requests are ordered; `first-in-first-out` and `least-outstanding` are baselines for measurements. */
 	order: 'policy' | 'first-in-first-out' | 'least-outstanding';
-	/** Mechanisms switched off for ablation measurements. */
+	/** Names of mechanisms that are disabled for ablation measurements. */
 	without: string[];
 };
