--- a/packages/errors/src/body.ts
+++ b/packages/errors/src/body.ts
@@ -2,7 +2,7 @@
 import {errorTable, type ErrorKind, type RetryAdvice} from './kinds.js';
 import type {RequestFailure} from './request-error.js';
 
-/** JSON body of an error answer, in the form that OpenAI-style clients read. */
+/** JSON body of an error response, in the OpenAI-compatible format. */
 export type ErrorBody = {
 	error: {
 		type: string;
@@ -11,14 +11,14 @@
 		request_id: RequestId;
 		ran: RunState;
 		retry: RetryAdvice;
-		/** Seconds after which a retry is of use. */
+		/** Seconds after which the caller may retry. */
 		retry_after?: number;
 	};
 };
 
 const millisecondsPerSecond = 1000;
 
-/** Gets the body that tells a caller of a failure. */
+/** Returns the response body that reports a failure to the caller. */
 export const getErrorBody = (failure: RequestFailure, request: RequestId): ErrorBody => {
 	const {type, retry} = errorTable[failure.kind];
 	const body: ErrorBody = {
--- a/packages/errors/src/errors.test.ts
+++ b/packages/errors/src/errors.test.ts
@@ -4,22 +4,22 @@
 	createFailure, errorKinds, errorTable, getErrorBody, getFailure,
 } from './index.js';
 
-test('tells what ran and when to retry', () => {
+test('the body states whether the request ran and rounds the retry time up to seconds', () => {
 	const failure = createFailure('queue-full', {retryAfter: 1200});
 	expect(getErrorBody(failure, 'a.1.1').error).toMatchObject({code: 'queue-full', ran: 'not-run', retry_after: 2});
 });
 
-test('reports what was not foreseen as internal', () => {
+test('an unexpected error becomes an internal failure', () => {
 	expect(getFailure(new Error('x')).kind).toBe('internal');
 });
 
-test('never tells not-run with a status that says success', () => {
+test('every kind has an error status, so that no request that has not run looks successful', () => {
 	for (const kind of errorKinds) {
 		expect(errorTable[kind].status).toBeGreaterThanOrEqual(400);
 	}
 });
 
-test('the page of errors holds the table', () => {
+test('docs/ERRORS.md lists the error table', () => {
 	const page = readFileSync(new URL('../../../docs/ERRORS.md', import.meta.url), 'utf8');
 	const rows = errorKinds.map(kind => {
 		const {status, ran, retry, message} = errorTable[kind];
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,29 +1,29 @@
 import type {RunState} from '@gentianlift/types';
 
-/** When a caller may send the request again. */
+/** Advice to callers on whether and when to retry a request. */
 export const retryAdvice = ['never', 'now', 'later', 'same-key'] as const;
-/** One of `retryAdvice`: `same-key` asks for the outcome under the same idempotency key. */
+/** One of `retryAdvice`; `same-key` means that a retry with the same idempotency key returns the request's outcome. */
 export type RetryAdvice = typeof retryAdvice[number];
 
-/** What a caller is told for an error kind. */
-export type ErrorAnswer = {
-	/** HTTP status. */
+/** Status and body of the response for an error kind. */
+export type ErrorDefinition = {
+	/** HTTP status code. */
 	status: number;
-	/** Whether the request ran. */
+	/** Whether the request was executed by an upstream. */
 	ran: RunState;
 	retry: RetryAdvice;
-	/** Type in the OpenAI-style error body. */
+	/** Error type in the OpenAI-compatible body. */
 	type: 'invalid_request_error' | 'authentication_error' | 'rate_limit_error' | 'server_error';
 	message: string;
 };
 
-/** The closed list of error kinds, each with its answer. */
+/** The complete list of error kinds, each with its response. */
 export const errorTable = {
-	'bad-json': getInvalid(400, 'The body is not valid JSON.'),
-	'bad-request': getInvalid(400, 'The request is not valid.'),
-	'repeated-header': getInvalid(400, 'A header that may be given once was repeated.'),
-	'headers-too-large': getInvalid(431, 'The headers are too large.'),
-	'body-too-large': getInvalid(413, 'The body is too large.'),
+	'bad-json': defineInvalidRequest(400, 'The body is not valid JSON.'),
+	'bad-request': defineInvalidRequest(400, 'The request is not valid.'),
+	'repeated-header': defineInvalidRequest(400, 'A header that may be given once was repeated.'),
+	'headers-too-large': defineInvalidRequest(431, 'The headers are too large.'),
+	'body-too-large': defineInvalidRequest(413, 'The body is too large.'),
 	'body-timeout': {
 		status: 408, ran: 'not-run', retry: 'now', type: 'invalid_request_error', message: 'The request took too long to arrive.',
 	},
@@ -33,21 +33,21 @@
 	'wrong-key': {
 		status: 401, ran: 'not-run', retry: 'never', type: 'authentication_error', message: 'The API key is not known.',
 	},
-	'unknown-path': getInvalid(404, 'There is nothing at this path.'),
-	'unknown-model': getInvalid(404, 'The model is not known.'),
-	'unknown-service': getInvalid(404, 'The service is not known.'),
-	'unknown-class': getInvalid(400, 'The class is not known.'),
-	'class-not-allowed': getInvalid(403, 'The customer may not use this class.'),
+	'unknown-path': defineInvalidRequest(404, 'There is nothing at this path.'),
+	'unknown-model': defineInvalidRequest(404, 'The model is not known.'),
+	'unknown-service': defineInvalidRequest(404, 'The service is not known.'),
+	'unknown-class': defineInvalidRequest(400, 'The class is not known.'),
+	'class-not-allowed': defineInvalidRequest(403, 'The customer may not use this class.'),
 	'unknown-request': {
 		status: 404, ran: 'unknown', retry: 'never', type: 'invalid_request_error', message: 'Nothing is known of this request.',
 	},
-	'customer-rate': getLimited(429, 'The customer\'s rate of requests is used up.'),
-	'customer-tokens': getLimited(429, 'The customer\'s rate of tokens is used up.'),
-	'customer-concurrency': getLimited(429, 'The customer has too many requests under way.'),
-	'deadline-unreachable': getLimited(503, 'The target of the class can no longer be met.'),
-	'queue-full': getLimited(503, 'Too many requests are waiting.'),
-	'queue-age': getLimited(503, 'The request waited too long.'),
-	outranked: getLimited(503, 'Requests of higher tiers take all capacity.'),
+	'customer-rate': defineRateLimit(429, 'The customer\'s rate of requests is used up.'),
+	'customer-tokens': defineRateLimit(429, 'The customer\'s rate of tokens is used up.'),
+	'customer-concurrency': defineRateLimit(429, 'The customer has too many requests under way.'),
+	'deadline-unreachable': defineRateLimit(503, 'The target of the class can no longer be met.'),
+	'queue-full': defineRateLimit(503, 'Too many requests are waiting.'),
+	'queue-age': defineRateLimit(503, 'The request waited too long.'),
+	outranked: defineRateLimit(503, 'Requests of higher tiers take all capacity.'),
 	'no-upstream': {
 		status: 503, ran: 'not-run', retry: 'later', type: 'server_error', message: 'No upstream can take the request.',
 	},
@@ -66,7 +66,7 @@
 	'upstream-unreachable': {
 		status: 502, ran: 'not-run', retry: 'later', type: 'server_error', message: 'The upstream could not be reached.',
 	},
-	'upstream-rejected': getInvalid(400, 'The upstream rejected the request.'),
+	'upstream-rejected': defineInvalidRequest(400, 'The upstream rejected the request.'),
 	'upstream-failed': {
 		status: 502, ran: 'ran', retry: 'later', type: 'server_error', message: 'The upstream failed.',
 	},
@@ -97,9 +97,9 @@
 	'request-timeout': {
 		status: 504, ran: 'unknown', retry: 'later', type: 'server_error', message: 'The request reached the time limit of its route.',
 	},
-	'key-mismatch': getInvalid(422, 'The idempotency key belongs to another request.'),
-	'key-missing': getInvalid(400, 'A non-idempotent request needs an Idempotency-Key header.'),
-	'key-invalid': getInvalid(400, 'The Idempotency-Key header is not valid.'),
+	'key-mismatch': defineInvalidRequest(422, 'The idempotency key belongs to another request.'),
+	'key-missing': defineInvalidRequest(400, 'A non-idempotent request needs an Idempotency-Key header.'),
+	'key-invalid': defineInvalidRequest(400, 'The Idempotency-Key header is not valid.'),
 	'claim-expired': {
 		status: 410, ran: 'unknown', retry: 'never', type: 'invalid_request_error', message: 'The idempotency key is too old to tell what became of it.',
 	},
@@ -115,21 +115,21 @@
 	internal: {
 		status: 500, ran: 'unknown', retry: 'later', type: 'server_error', message: 'An internal fault.',
 	},
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorDefinition>;
 
-/** One of the closed list of error kinds. */
+/** One of the kinds in `errorTable`. */
 export type ErrorKind = keyof typeof errorTable;
 
-/** All error kinds, in the order of the table. */
+/** All error kinds, in the order of `errorTable`. */
 export const errorKinds = Object.keys(errorTable) as ErrorKind[];
 
-function getInvalid(status: number, message: string): ErrorAnswer {
+function defineInvalidRequest(status: number, message: string): ErrorDefinition {
 	return {
 		status, ran: 'not-run', retry: 'never', type: 'invalid_request_error', message,
 	};
 }
 
-function getLimited(status: number, message: string): ErrorAnswer {
+function defineRateLimit(status: number, message: string): ErrorDefinition {
 	return {
 		status, ran: 'not-run', retry: 'later', type: 'rate_limit_error', message,
 	};
--- a/packages/errors/src/request-error.ts
+++ b/packages/errors/src/request-error.ts
@@ -1,41 +1,41 @@
 import ModernError from 'modern-errors';
 import type {Milliseconds, RunState} from '@gentianlift/types';
-import {errorTable, type ErrorAnswer, type ErrorKind} from './kinds.js';
+import {errorTable, type ErrorDefinition, type ErrorKind} from './kinds.js';
 
-/** What is known beside the kind of a failure. */
-export type FailureDetail = {
-	/** Detail for the caller, after the kind's message. */
+/** Options of `createFailure`. */
+export type FailureOptions = {
+	/** Text for the caller, appended to the kind's message. */
 	detail?: string;
-	/** Overrides the kind's run state where more is known. */
+	/** Replaces the kind's run state if the actual one is known. */
 	ran?: RunState;
-	/** When a retry is of use. */
+	/** Time after which the caller may retry. */
 	retryAfter?: Milliseconds;
 	cause?: unknown;
 };
 
-/** Parent of all errors of the project. */
+/** Base class of all errors of the project. */
 export const BaseError = ModernError.subclass('BaseError');
 
 const RequestError = BaseError.subclass('RequestError');
 
-/** A request's failure, of one of the closed list of kinds; thrown and caught like any error. */
+/** Error of a failed request, with one of the error kinds. */
 export type RequestFailure = Error & {
 	kind: ErrorKind;
 	ran: RunState;
 	retryAfter: Milliseconds | undefined;
 };
 
-/** Creates the failure of a request. */
-export const createFailure = (kind: ErrorKind, detail: FailureDetail = {}): RequestFailure => {
-	const entry: ErrorAnswer = errorTable[kind];
-	const message = detail.detail === undefined ? entry.message : `${entry.message} ${detail.detail}`;
-	const props = {kind, ran: detail.ran ?? entry.ran, retryAfter: detail.retryAfter};
-	return new RequestError(message, detail.cause === undefined ? {props} : {props, cause: detail.cause});
+/** Creates the error of a failed request. */
+export const createFailure = (kind: ErrorKind, options: FailureOptions = {}): RequestFailure => {
+	const definition: ErrorDefinition = errorTable[kind];
+	const message = options.detail === undefined ? definition.message : `${definition.message} ${options.detail}`;
+	const props = {kind, ran: options.ran ?? definition.ran, retryAfter: options.retryAfter};
+	return new RequestError(message, options.cause === undefined ? {props} : {props, cause: options.cause});
 };
 
-/** Whether something thrown is a request's failure. */
-export const isFailure = (thrown: unknown): thrown is RequestFailure => thrown instanceof RequestError;
+/** Returns whether a thrown value is a request failure. */
+export const isRequestFailure = (thrown: unknown): thrown is RequestFailure => thrown instanceof RequestError;
 
-/** Gets the failure to report for anything that was thrown; an unforeseen one is `internal`. */
+/** Returns a thrown value if it is a request failure, and otherwise an `internal` failure with the value as its cause. */
 export const getFailure = (thrown: unknown): RequestFailure =>
-	isFailure(thrown) ? thrown : createFailure('internal', {cause: thrown});
+	isRequestFailure(thrown) ? thrown : createFailure('internal', {cause: thrown});
