--- a/packages/types/src/engine.ts
+++ b/packages/types/src/engine.ts
@@ -26,7 +26,7 @@
 	chunk: string;
 };
 
-/** What an order instructs an engine to do. */
+/** Action that an order instructs an engine to perform. */
 export type EngineOrder
 	= | {kind: 'load'; model: ModelName; version: string}
 		| {kind: 'unload'; model: ModelName}
@@ -49,7 +49,7 @@
 		| {kind: 'refused'; reason: string}
 		| {kind: 'unknown'; reason: string};
 
-/** One observation of an upstream's health by a host, from a request, a probe or a notice. */
+/** One observation of an upstream by a host, apart from load reports, such as the end of a request or of a probe. */
 export type UpstreamSighting = {
 	upstream: UpstreamId;
 	at: Milliseconds;
--- a/packages/types/src/inventory.ts
+++ b/packages/types/src/inventory.ts
@@ -2,7 +2,7 @@
 	Address, ClassName, CustomerId, Milliseconds, ModelName, TierName, UpstreamId, Zone,
 } from './ids.js';
 
-/** Phases of a generation that an engine executes: prefill, decode, or both. */
+/** Phases of a generation that an engine executes: `prefill`, `decode`, or both (`mixed`). */
 export const engineRoles = ['mixed', 'prefill', 'decode'] as const;
 /** One of `engineRoles`. */
 export type EngineRole = typeof engineRoles[number];
--- a/packages/upstream/src/commands/call-service.ts
+++ b/packages/upstream/src/commands/call-service.ts
@@ -17,7 +17,7 @@
 	path: string;
 	headers: OutgoingHttpHeaders;
 	body?: Uint8Array | string;
-	/** Aborting closes the connection; leave it out for a call that must not be interrupted. */
+	/** Aborting closes the connection. Omit it for a call that must not be interrupted. */
 	signal?: AbortSignal;
 };
 
--- a/packages/upstream/src/health/leaving-upstreams.ts
+++ b/packages/upstream/src/health/leaving-upstreams.ts
@@ -14,7 +14,7 @@
 /** Time after which an upstream's own report that it is leaving expires unless it is renewed. */
 const upstreamReportDuration: Milliseconds = 60_000;
 
-/** Creates an empty set. */
+/** Creates an empty set of leaving upstreams. */
 export const createLeavingUpstreams = (): LeavingUpstreams => {
 	const reportsByUpstream = new Map<UpstreamId, Map<LeavingSource, Milliseconds>>();
 	return {
--- a/packages/upstream/src/queries/read-cache-events.ts
+++ b/packages/upstream/src/queries/read-cache-events.ts
@@ -2,7 +2,7 @@
 import {callJson} from '../wire/call-json.js';
 import type {ExchangeContext} from '../wire/exchange.js';
 
-/** Cache events after a sequence number, and the number to read after next time. */
+/** Cache events after a sequence number, and the sequence number from which the next page continues. */
 export type CacheEventPage = {events: CacheEvent[]; next: number};
 
 const isPage = (value: unknown): value is CacheEventPage => {
