--- a/packages/config/src/parse-version.ts
+++ b/packages/config/src/parse-version.ts
@@ -5,8 +5,8 @@
 import {parseJson} from './parse-settings.js';
 import {readDocument} from './read-document.js';
 
-/** Parses a document as a configuration. */
-export type ConfigurationParse = (document: unknown) => Parsed<Configuration>;
+/** Parser of a configuration document; tests replace it by a simpler one. */
+export type ConfigurationParser = (document: unknown) => Parsed<Configuration>;
 
 const versionSchema = z.strictObject({
 	version: z.int().positive(),
@@ -17,8 +17,8 @@
 	configuration: z.unknown(),
 });
 
-/** Parses an accepted version and the configuration in it. */
-export const parseVersion = (document: unknown, parse: ConfigurationParse = parseConfiguration): Parsed<ConfigurationVersion> => {
+/** Parses an accepted version and its configuration. */
+export const parseVersion = (document: unknown, parse: ConfigurationParser = parseConfiguration): Parsed<ConfigurationVersion> => {
 	const {value, faults} = readDocument(versionSchema, document);
 	if (value === undefined) {
 		return {kind: 'invalid', faults};
@@ -28,8 +28,8 @@
 	return parsed.kind === 'valid' ? {kind: 'valid', value: {...value, configuration: parsed.value}} : parsed;
 };
 
-/** Parses the text of an accepted version as the key-value service holds it. */
-export const parseVersionText = (text: string, parse: ConfigurationParse = parseConfiguration): Parsed<ConfigurationVersion> => {
+/** Parses the text of an accepted version as it is stored in the key-value service. */
+export const parseVersionText = (text: string, parse: ConfigurationParser = parseConfiguration): Parsed<ConfigurationVersion> => {
 	const document = parseJson(text);
 	return document.kind === 'valid' ? parseVersion(document.value, parse) : document;
 };
--- a/packages/distribution/src/fake-fleet.ts
+++ b/packages/distribution/src/fake-fleet.ts
@@ -6,13 +6,13 @@
 	Configuration, ConfigurationVersion, KeyValueService, Member, PeerCalls,
 } from '@gentianlift/types';
 import {
-	createConfigurationFollower, currentKey, publishConfiguration, type ConfigurationFollower, type PublishOutcome,
+	createConfigurationFollower, currentVersionKey, publishConfiguration, type ConfigurationFollower, type PublishOutcome,
 } from './index.js';
 
-/** Creates the watch of a host's service in place of the real one. */
+/** Creates a replacement for a host's watch of the key-value service. */
 export type WatchFactory = (clock: Clock) => KeyValueService['watch'];
-/** A host of a fake fleet; one that is cut reaches nothing. */
-export type Host = {follower: ConfigurationFollower; isCut: boolean; metrics: ReturnType<typeof createMetrics>};
+/** A host of a fake fleet. A partitioned host reaches neither peers nor the key-value service. */
+export type FakeHost = {follower: ConfigurationFollower; isPartitioned: boolean; metrics: ReturnType<typeof createMetrics>};
 
 const parse = (document: unknown): Parsed<Configuration> =>
 	document === 'bad' ? {kind: 'invalid', faults: []} : {kind: 'valid', value: document as Configuration};
@@ -21,70 +21,71 @@
 	host, incarnation, zone: 'a', callerAddress: '', peerAddress: '', gossipAddress: '', state: 'alive', configurationVersion, load: 0,
 });
 
-const rumourInterval = 200;
-const publishTime = 9000;
+const advertiseIntervalMs = 200;
+/** Time that the clock advances for a publication, more than its timeout of 8 seconds. */
+const publishDurationMs = 9000;
 
-const createParts = (size: number, seed: number) => {
+const createFleetParts = (size: number, seed: number) => {
 	const clock = createManualClock();
 	const random = createRandom(seed);
 	return {
 		clock,
 		random,
 		service: createMemoryKeyValue({clock, random}),
-		hosts: new Map<string, Host>(),
-		names: Array.from({length: size}, (_, index) => `h${index}`),
-		/** Versions that came into force, for each start of a host. */
-		applied: [] as number[][],
-		/** Version numbers that membership messages tell. */
-		heard: new Map<string, number>(),
+		hosts: new Map<string, FakeHost>(),
+		hostNames: Array.from({length: size}, (_, index) => `h${index}`),
+		/** Versions that became active, in order, with one list for each start of a host. */
+		activatedVersions: [] as number[][],
+		/** Version numbers that membership messages advertise for each host. */
+		advertised: new Map<string, number>(),
 	};
 };
 
-type Parts = ReturnType<typeof createParts>;
+type FleetParts = ReturnType<typeof createFleetParts>;
 
-const getVersionOf = ({hosts}: Parts, name: string): number => hosts.get(name)?.follower.getCurrent()?.version ?? 0;
+const getActiveVersion = ({hosts}: FleetParts, name: string): number => hosts.get(name)?.follower.getCurrent()?.version ?? 0;
 
-const createPeerCalls = ({clock, random, hosts}: Parts, self: string): Pick<PeerCalls, 'readConfiguration'> => ({
+const createFakePeerCalls = ({clock, random, hosts}: FleetParts, self: string): Pick<PeerCalls, 'readConfiguration'> => ({
 	async readConfiguration(to, message) {
 		const peer = hosts.get(to);
 		await clock.sleep(1 + random.below(20));
-		if (peer === undefined || peer.isCut || hosts.get(self)?.isCut) {
-			return {kind: 'unreachable', reason: 'cut'};
+		if (peer === undefined || peer.isPartitioned || hosts.get(self)?.isPartitioned) {
+			return {kind: 'unreachable', reason: 'partitioned'};
 		}
 
 		return {kind: 'answered', answer: await peer.follower.readConfiguration(self, message)};
 	},
 });
 
-const createServiceCalls = ({clock, hosts, service}: Parts, name: string, createWatch?: WatchFactory): Pick<KeyValueService, 'read' | 'watch'> => {
-	const isCut = (): boolean => hosts.get(name)?.isCut ?? false;
+const createFakeServiceCalls = ({clock, hosts, service}: FleetParts, name: string, createWatch?: WatchFactory): Pick<KeyValueService, 'read' | 'watch'> => {
+	const isPartitioned = (): boolean => hosts.get(name)?.isPartitioned ?? false;
 	const watch = createWatch?.(clock) ?? service.watch;
 	return {
-		read: async key => isCut() ? {kind: 'unavailable', reason: 'cut'} : service.read(key),
+		read: async key => isPartitioned() ? {kind: 'unavailable', reason: 'partitioned'} : service.read(key),
 		async watch(key, after, limit) {
-			const outcome = isCut() ? undefined : await watch(key, after, limit);
-			return outcome === undefined || isCut() ? {kind: 'unavailable', reason: 'cut'} : outcome;
+			const outcome = isPartitioned() ? undefined : await watch(key, after, limit);
+			return outcome === undefined || isPartitioned() ? {kind: 'unavailable', reason: 'partitioned'} : outcome;
 		},
 	};
 };
 
-const startHost = (parts: Parts, name: string, createWatch?: WatchFactory): Host => {
-	const {clock, random, hosts, names, applied, heard} = parts;
+const startHost = (parts: FleetParts, name: string, createWatch?: WatchFactory): FakeHost => {
+	const {clock, random, hosts, hostNames, activatedVersions, advertised} = parts;
 	const metrics = createMetrics();
 	const follower = createConfigurationFollower({
 		clock,
 		random,
 		metrics,
-		keyValue: createServiceCalls(parts, name, createWatch),
-		peers: createPeerCalls(parts, name),
-		getMembers: () => names.map(host => createMember(host, 1, heard.get(host) ?? 0)),
+		keyValue: createFakeServiceCalls(parts, name, createWatch),
+		peers: createFakePeerCalls(parts, name),
+		getMembers: () => hostNames.map(host => createMember(host, 1, advertised.get(host) ?? 0)),
 		self: name,
 		parse,
-		getOwners: (_key, count) => names.slice(0, count),
+		getOwners: (_key, count) => hostNames.slice(0, count),
 	});
-	const host: Host = {follower, isCut: false, metrics};
+	const host: FakeHost = {follower, isPartitioned: false, metrics};
 	const versions: number[] = [];
-	applied.push(versions);
+	activatedVersions.push(versions);
 	follower.onChange(({version}) => {
 		versions.push(version);
 	});
@@ -94,49 +95,49 @@
 	return host;
 };
 
-/** Spreads version numbers as membership messages do. */
-const spreadRumours = (parts: Parts): void => {
-	const {hosts, names, heard} = parts;
-	for (const name of names) {
-		heard.set(name, Math.max(heard.get(name) ?? 0, getVersionOf(parts, name)));
+/** Delivers the hosts' version numbers to the followers, as membership messages do. */
+const advertiseVersions = (parts: FleetParts): void => {
+	const {hosts, hostNames, advertised} = parts;
+	for (const name of hostNames) {
+		advertised.set(name, Math.max(advertised.get(name) ?? 0, getActiveVersion(parts, name)));
 	}
 
 	for (const [to, host] of hosts) {
-		for (const name of names.filter(other => other !== to && !host.isCut)) {
-			host.follower.applyRumour(name, heard.get(name) ?? 0);
+		for (const name of hostNames.filter(other => other !== to && !host.isPartitioned)) {
+			host.follower.applyRumour(name, advertised.get(name) ?? 0);
 		}
 	}
 };
 
-const publish = async ({clock, random, service}: Parts, configuration: unknown, base: number): Promise<PublishOutcome> => {
+const publish = async ({clock, random, service}: FleetParts, configuration: unknown, base: number): Promise<PublishOutcome> => {
 	const outcome = publishConfiguration({clock, keyValue: service, parse}, {
 		document: configuration, base, token: `${String(configuration)}-${base}-${clock.now()}-${random.next()}`, author: 'test', note: '',
 	});
-	await clock.advance(publishTime);
+	await clock.advance(publishDurationMs);
 	return outcome;
 };
 
 const createFleet = (size: number, seed = 1, createWatch?: WatchFactory) => {
-	const parts = createParts(size, seed);
-	const tick = (): void => {
-		spreadRumours(parts);
-		parts.clock.after(rumourInterval, tick);
+	const parts = createFleetParts(size, seed);
+	const advertise = (): void => {
+		advertiseVersions(parts);
+		parts.clock.after(advertiseIntervalMs, advertise);
 	};
 
-	parts.clock.after(rumourInterval, tick);
+	parts.clock.after(advertiseIntervalMs, advertise);
 	return {
 		...parts,
-		startHost: (name: string): Host => startHost(parts, name, createWatch),
+		startHost: (name: string): FakeHost => startHost(parts, name, createWatch),
 		publish: async (configuration: unknown, base: number) => publish(parts, configuration, base),
-		getVersions: () => parts.names.map(name => getVersionOf(parts, name)),
+		getVersions: () => parts.hostNames.map(name => getActiveVersion(parts, name)),
 	};
 };
 
-/** Creates a fleet on a manual clock whose hosts have the first version in force. */
+/** Creates a fleet on a manual clock, with the first version active on every host. */
 export const startFleet = async (size: number, seed?: number, createWatch?: WatchFactory) => {
 	const fleet = createFleet(size, seed, createWatch);
 	await fleet.publish('first', 0);
-	for (const name of fleet.names) {
+	for (const name of fleet.hostNames) {
 		fleet.startHost(name);
 	}
 
@@ -144,16 +145,16 @@
 	return fleet;
 };
 
-/** A fleet on a manual clock. */
+/** A fake fleet on a manual clock. */
 export type Fleet = Awaited<ReturnType<typeof startFleet>>;
 
-/** Gets the number of the newest accepted version. */
-export const getAccepted = ({service}: Fleet): number => (JSON.parse(service.peek(currentKey)!.value) as ConfigurationVersion).version;
+/** Returns the number of the newest accepted version. */
+export const getAcceptedVersion = ({service}: Fleet): number => (JSON.parse(service.peek(currentVersionKey)!.value) as ConfigurationVersion).version;
 
-/** Writes a version into the service as a publisher does. */
-export const put = async (service: MemoryKeyValue, version: number, configuration: unknown) => {
+/** Writes a version to the key-value service as a publisher does. */
+export const writeVersion = async (service: MemoryKeyValue, version: number, configuration: unknown) => {
 	const value = JSON.stringify({
 		version, token: `t${version}`, author: '', acceptedAt: 0, note: '', configuration,
 	});
-	await service.compareAndSwap({key: currentKey, value, expected: service.peek(currentKey)?.revision ?? 0});
+	await service.compareAndSwap({key: currentVersionKey, value, expected: service.peek(currentVersionKey)?.revision ?? 0});
 };
--- a/packages/distribution/src/follower-options.ts
+++ b/packages/distribution/src/follower-options.ts
@@ -1,60 +1,60 @@
 import type {Clock, Random} from '@gentianlift/clock';
-import type {ConfigurationParse} from '@gentianlift/config';
+import type {ConfigurationParser} from '@gentianlift/config';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
 	HostId, KeyValueService, Member, Milliseconds, PeerCalls,
 } from '@gentianlift/types';
 
-/** Spans of time of a follower. */
-export type FollowerTimes = {
-	/** Longest wait of one watch at the service. */
-	watchLimit: Milliseconds;
-	/** Extra time after which a watch without an answer is taken as silent. */
-	watchMargin: Milliseconds;
-	/** Least time from the start of a watch to the next, so that a service that answers at once isn't asked without end. */
-	watchSpacing: Milliseconds;
-	/** Longest wait for a read of the service. */
-	readLimit: Milliseconds;
-	/** Mean time between two polls of the service by the whole fleet. */
-	pollSpacing: Milliseconds;
-	/** Mean time between two exchanges of a host with a peer. */
+/** Timeouts and intervals of a follower. */
+export type FollowerTimings = {
+	/** Time that the key-value service may hold one watch (long poll) open. */
+	watchTimeout: Milliseconds;
+	/** Time beyond `watchTimeout` after which a watch without a response is abandoned. */
+	watchTimeoutMargin: Milliseconds;
+	/** Minimum time between the starts of two watches, so that a service that responds at once isn't called in a tight loop. */
+	minWatchInterval: Milliseconds;
+	/** Timeout of a read of the key-value service. */
+	readTimeout: Milliseconds;
+	/** Mean time between two polls of the key-value service, counted over all hosts of the fleet. */
+	fleetPollInterval: Milliseconds;
+	/** Mean time between two anti-entropy exchanges of one host with a random peer. */
 	exchangeInterval: Milliseconds;
-	/** Wait before a call that failed is made again. */
+	/** Delay before a failed call is retried. */
 	retryInterval: Milliseconds;
-	/** Time after which a version that nobody confirmed is no longer held to be the newest. */
-	confirmationLimit: Milliseconds;
-	/** Time without an answer of the service or any peer after which the host is cut off. */
-	isolationLimit: Milliseconds;
-	/** Spread of fetches of a new version per host of the fleet, so that not all hosts ask at once. */
-	fetchSpread: Milliseconds;
+	/** Age of the latest confirmation beyond which the active version is no longer considered the newest. */
+	maxConfirmationAge: Milliseconds;
+	/** Time without a response from the key-value service or any peer after which the host is considered isolated. */
+	isolationTimeout: Milliseconds;
+	/** Width per host of the fleet of the random delay before a new version is fetched, so that the hosts don't fetch it all at once. */
+	fetchDelayPerHost: Milliseconds;
 };
 
-/** Times that put a version in force everywhere within two seconds, and within eight when watches fail. */
-export const defaultTimes: FollowerTimes = {
-	watchLimit: 5000,
-	watchMargin: 1000,
-	watchSpacing: 100,
-	readLimit: 3000,
-	pollSpacing: 1000,
+/** Default timings: a version becomes active on every host within two seconds, and within eight seconds when watches fail. */
+export const defaultTimings: FollowerTimings = {
+	watchTimeout: 5000,
+	watchTimeoutMargin: 1000,
+	minWatchInterval: 100,
+	readTimeout: 3000,
+	fleetPollInterval: 1000,
 	exchangeInterval: 2000,
 	retryInterval: 500,
-	confirmationLimit: 45_000,
-	isolationLimit: 8000,
-	fetchSpread: 2,
+	maxConfirmationAge: 45_000,
+	isolationTimeout: 8000,
+	fetchDelayPerHost: 2,
 };
 
-/** What a follower needs. */
+/** Dependencies and options of a follower. */
 export type FollowerOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	keyValue: Pick<KeyValueService, 'read' | 'watch'>;
 	peers: Pick<PeerCalls, 'readConfiguration'>;
-	/** Hosts of the fleet as this host sees them; it may be among them. */
+	/** Returns the members of the fleet as seen by this host, which may be one of them. */
 	getMembers: () => readonly Member[];
 	self: HostId;
-	parse: ConfigurationParse;
-	/** Gets the hosts that own a key, the first-ranked first. */
+	parse: ConfigurationParser;
+	/** Returns up to `count` hosts that own a key, in order of their rank. */
 	getOwners: (key: string, count: number) => readonly HostId[];
-	times?: Partial<FollowerTimes>;
+	timings?: Partial<FollowerTimings>;
 };
--- a/packages/distribution/src/follower-state.ts
+++ b/packages/distribution/src/follower-state.ts
@@ -1,52 +1,52 @@
 import type {ConfigurationVersion, Milliseconds} from '@gentianlift/types';
 
-/** What a host holds of the configuration. */
+/** A host's knowledge of the accepted configuration. */
 export type FollowerState = {
-	/** The version in force; only a higher one replaces it. */
+	/** The active version; only a higher one replaces it. */
 	current?: ConfigurationVersion;
-	/** Monotonic moment at which `current` was last known to be the newest accepted version. */
+	/** Monotonic time at which `current` was last known to be the newest accepted version. */
 	confirmedAt?: Milliseconds;
-	/** Highest version that this host found to be invalid. */
+	/** Highest version number that failed validation on this host; 0 if there was none. */
 	refused: number;
 };
 
-/** Where a version stands beside the one in force. */
-export type Standing = 'newer' | 'same' | 'older' | 'split';
+/** Order of a version relative to the active one; `split` is a version with the same number and another token. */
+export type VersionOrder = 'newer' | 'same' | 'older' | 'split';
 
-/** Creates the state of a host that holds nothing. */
+/** Creates the state of a host without a version. */
 export const createFollowerState = (): FollowerState => ({refused: 0});
 
-/** Gets the number of the version in force; 0 if there is none. */
-export const getVersion = ({current}: FollowerState): number => current?.version ?? 0;
+/** Returns the number of the active version; 0 if there is none. */
+export const getVersionNumber = ({current}: FollowerState): number => current?.version ?? 0;
 
-/** Gets where an accepted version stands; `split` is a version with the number of the one in force and other content. */
-export const getStanding = ({current}: FollowerState, offered: ConfigurationVersion): Standing => {
-	if (current === undefined || offered.version > current.version) {
+/** Compares an accepted version with the active one. */
+export const compareVersions = ({current}: FollowerState, candidate: ConfigurationVersion): VersionOrder => {
+	if (current === undefined || candidate.version > current.version) {
 		return 'newer';
 	}
 
-	if (offered.version < current.version) {
+	if (candidate.version < current.version) {
 		return 'older';
 	}
 
-	return offered.token === current.token ? 'same' : 'split';
+	return candidate.token === current.token ? 'same' : 'split';
 };
 
-const getLatest = (known: Milliseconds | undefined, found: Milliseconds | undefined): Milliseconds | undefined =>
-	known === undefined || found === undefined ? known ?? found : Math.max(known, found);
+const getLater = (first: Milliseconds | undefined, second: Milliseconds | undefined): Milliseconds | undefined =>
+	first === undefined || second === undefined ? first ?? second : Math.max(first, second);
 
 /**
-Applies a valid version that was the newest at `confirmedAt`; without a moment, nobody knows whether it is the newest.
-A lower version changes nothing, so messages may arrive in any order.
+Applies a valid version that was the newest at `confirmedAt`. Without `confirmedAt`, it is not known whether it is the newest.
+A lower version leaves the state unchanged, so messages may arrive in any order.
 */
-export const applyVersion = (state: FollowerState, offered: ConfigurationVersion, confirmedAt?: Milliseconds): FollowerState => {
-	switch (getStanding(state, offered)) {
+export const applyVersion = (state: FollowerState, candidate: ConfigurationVersion, confirmedAt?: Milliseconds): FollowerState => {
+	switch (compareVersions(state, candidate)) {
 		case 'newer': {
-			return {...state, current: offered, confirmedAt};
+			return {...state, current: candidate, confirmedAt};
 		}
 
 		case 'same': {
-			return {...state, confirmedAt: getLatest(state.confirmedAt, confirmedAt)};
+			return {...state, confirmedAt: getLater(state.confirmedAt, confirmedAt)};
 		}
 
 		case 'older':
@@ -56,13 +56,13 @@
 	}
 };
 
-/** Applies word from a peer that the version of this number was the newest at `confirmedAt`. */
+/** Records that the version with this number was the newest at `confirmedAt`, if it is the active one. */
 export const applyConfirmation = (state: FollowerState, version: number, confirmedAt: Milliseconds): FollowerState =>
-	version > 0 && version === getVersion(state) ? {...state, confirmedAt: getLatest(state.confirmedAt, confirmedAt)} : state;
+	version > 0 && version === getVersionNumber(state) ? {...state, confirmedAt: getLater(state.confirmedAt, confirmedAt)} : state;
 
-/** Notes that a version is invalid here, so that it isn't fetched again and again. */
-export const applyRefusal = (state: FollowerState, version: number): FollowerState =>
+/** Records that a version failed validation on this host, so that it isn't fetched repeatedly. */
+export const recordInvalidVersion = (state: FollowerState, version: number): FollowerState =>
 	({...state, refused: Math.max(state.refused, version)});
 
-/** Whether a version that others hold is worth fetching. */
-export const isWanted = (state: FollowerState, version: number): boolean => version > getVersion(state) && version > state.refused;
+/** Whether a version is newer than the active one and than any that failed validation on this host. */
+export const isCandidateVersion = (state: FollowerState, version: number): boolean => version > getVersionNumber(state) && version > state.refused;
--- a/packages/distribution/src/follower.test.ts
+++ b/packages/distribution/src/follower.test.ts
@@ -1,40 +1,40 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {
-	getAccepted, put, startFleet, type Fleet,
+	getAcceptedVersion, writeVersion, startFleet, type Fleet,
 } from './fake-fleet.js';
 
-test('reaches every host within two seconds', async () => {
+test('a new version becomes active on every host within two seconds', async () => {
 	const {clock, service, getVersions} = await startFleet(7);
-	await put(service, 2, 'second');
+	await writeVersion(service, 2, 'second');
 	await clock.advance(2000);
 	expect(getVersions()).toEqual([2, 2, 2, 2, 2, 2, 2]);
 });
 
-test('reaches every host within eight seconds while all watches are silent', async () => {
+test('a new version becomes active on every host within eight seconds while no watch responds', async () => {
 	const {clock, service, hosts, getVersions} = await startFleet(7, 1, clock => async () => {
 		await clock.sleep(Infinity);
 		return {kind: 'unchanged'};
 	});
-	await put(service, 2, 'second');
+	await writeVersion(service, 2, 'second');
 	await clock.advance(8000);
 	expect(getVersions()).toEqual([2, 2, 2, 2, 2, 2, 2]);
 	expect(hosts.get('h0')?.metrics.getValue('configuration_watch_silent')).toBeGreaterThan(0);
 });
 
-test('finds a watch that answers and missed a change', async () => {
+test('detects a watch that responds but missed a change', async () => {
 	const fleet = await startFleet(1, 1, clock => async (_key, _after, limit) => {
 		await clock.sleep(limit);
 		return {kind: 'unchanged'};
 	});
 	await fleet.clock.advance(1000);
-	await put(fleet.service, 2, 'second');
+	await writeVersion(fleet.service, 2, 'second');
 	await fleet.clock.advance(6000);
 	expect(fleet.getVersions()).toEqual([2]);
 	expect(fleet.hosts.get('h0')?.metrics.getValue('configuration_watch_missed')).toBe(1);
 });
 
-test('asks a service whose watches end at once ten times a second', async () => {
+test('calls a service whose watches end at once at most ten times a second', async () => {
 	let watches = 0;
 	const fleet = await startFleet(1, 1, () => async () => {
 		watches++;
@@ -44,7 +44,7 @@
 	expect(watches).toBeLessThanOrEqual(101);
 });
 
-test.each([2, 7, 40])('reads the service at a rate that does not grow with %i hosts', async size => {
+test.each([2, 7, 40])('reads the service at a rate that does not depend on the number of hosts, here %i', async size => {
 	const {clock, service} = await startFleet(size);
 	const before = service.getCalls();
 	await clock.advance(120_000);
@@ -53,28 +53,28 @@
 	expect((after.watches - before.watches) / 120).toBeLessThan(1);
 });
 
-test('keeps the version when an invalid one is accepted elsewhere', async () => {
+test('keeps the active version while the accepted one fails validation', async () => {
 	const {clock, service, hosts, getVersions} = await startFleet(3);
-	await put(service, 2, 'bad');
+	await writeVersion(service, 2, 'bad');
 	await clock.advance(10_000);
 	expect(getVersions()).toEqual([1, 1, 1]);
 	await clock.advance(60_000);
 	expect(hosts.get('h1')?.follower.getStanding()).toBe('unconfirmed');
-	await put(service, 3, 'third');
+	await writeVersion(service, 3, 'third');
 	await clock.advance(3000);
 	expect(getVersions()).toEqual([3, 3, 3]);
 });
 
-test('never returns to an older version of the service', async () => {
-	const {clock, service, applied} = await startFleet(3);
-	await put(service, 5, 'fifth');
+test('keeps the active version when the service returns an older one', async () => {
+	const {clock, service, activatedVersions: applied} = await startFleet(3);
+	await writeVersion(service, 5, 'fifth');
 	await clock.advance(2000);
-	await put(service, 4, 'fourth');
+	await writeVersion(service, 4, 'fourth');
 	await clock.advance(20_000);
 	expect(applied).toEqual([[1, 5], [1, 5], [1, 5]]);
 });
 
-test('starts from peers during an outage', async () => {
+test('a restarted host obtains its version from peers during an outage of the service', async () => {
 	const fleet = await startFleet(3);
 	fleet.service.setFaults({outage: true});
 	const host = fleet.startHost('h2');
@@ -85,48 +85,49 @@
 	expect(host.follower.getStanding()).toBe('unconfirmed');
 });
 
-test('does not start during an outage below a version that some host held', async () => {
+test('a restarted host rejects a version from peers that is lower than one advertised before the outage', async () => {
 	const fleet = await startFleet(3);
 	const first = fleet.hosts.get('h0')!;
-	fleet.hosts.get('h1')!.isCut = true;
-	fleet.hosts.get('h2')!.isCut = true;
-	await put(fleet.service, 2, 'second');
+	fleet.hosts.get('h1')!.isPartitioned = true;
+	fleet.hosts.get('h2')!.isPartitioned = true;
+	await writeVersion(fleet.service, 2, 'second');
 	await fleet.clock.advance(1000);
 	expect(first.follower.getCurrent()?.version).toBe(2);
 	fleet.service.setFaults({outage: true});
-	fleet.hosts.get('h1')!.isCut = false;
-	const again = fleet.startHost('h0');
-	fleet.hosts.get('h2')!.isCut = false;
+	fleet.hosts.get('h1')!.isPartitioned = false;
+	const restarted = fleet.startHost('h0');
+	fleet.hosts.get('h2')!.isPartitioned = false;
 	await fleet.clock.advance(5000);
-	expect(again.follower.getStanding()).toBe('none');
+	expect(restarted.follower.getStanding()).toBe('none');
 	fleet.service.setFaults({outage: false});
 	await fleet.clock.advance(10_000);
 	expect(fleet.getVersions()).toEqual([2, 2, 2]);
 });
 
-test('a host that reaches neither the service nor peers is isolated, and recovers', async () => {
+test('a host that reaches neither the service nor peers becomes isolated, and recovers', async () => {
 	const fleet = await startFleet(3);
 	const host = fleet.hosts.get('h2')!;
-	host.isCut = true;
+	host.isPartitioned = true;
 	await fleet.clock.advance(9000);
 	expect(host.follower.getStanding()).toBe('isolated');
-	host.isCut = false;
+	host.isPartitioned = false;
 	await fleet.clock.advance(10_000);
 	expect(host.follower.getStanding()).toBe('confirmed');
 });
 
-type Step = {kind: 'publish' | 'cut' | 'heal' | 'restart' | 'outage' | 'recover' | 'wait'; pick: number};
+/** A random step of a test; `pick` selects the host and, times 150 ms, the wait after the step. */
+type Step = {kind: 'publish' | 'partition' | 'heal' | 'restart' | 'outage' | 'recover' | 'wait'; pick: number};
 
-const steps = fc.array(fc.record<Step>({
-	kind: fc.constantFrom('publish', 'cut', 'heal', 'restart', 'outage', 'recover', 'wait'),
+const faultSteps = fc.array(fc.record<Step>({
+	kind: fc.constantFrom('publish', 'partition', 'heal', 'restart', 'outage', 'recover', 'wait'),
 	pick: fc.nat(6),
 }), {maxLength: 25});
 
 const applyStep = async (fleet: Fleet, {kind, pick}: Step): Promise<void> => {
-	const name = fleet.names[pick % fleet.names.length]!;
+	const name = fleet.hostNames[pick % fleet.hostNames.length]!;
 	switch (kind) {
 		case 'publish': {
-			await put(fleet.service, getAccepted(fleet) + 1, kind);
+			await writeVersion(fleet.service, getAcceptedVersion(fleet) + 1, kind);
 			break;
 		}
 
@@ -135,9 +136,9 @@
 			break;
 		}
 
-		case 'cut':
+		case 'partition':
 		case 'heal': {
-			fleet.hosts.get(name)!.isCut = kind === 'cut';
+			fleet.hosts.get(name)!.isPartitioned = kind === 'partition';
 			break;
 		}
 
@@ -155,25 +156,25 @@
 	await fleet.clock.advance(pick * 150);
 };
 
-test('never goes back and converges after any faults', async () => {
-	await fc.assert(fc.asyncProperty(fc.integer(), steps, async (seed, plan) => {
+test('version numbers never decrease and all hosts converge after any sequence of faults', async () => {
+	await fc.assert(fc.asyncProperty(fc.integer(), faultSteps, async (seed, schedule) => {
 		const fleet = await startFleet(4, seed);
-		for (const step of plan) {
-			// eslint-disable-next-line no-await-in-loop -- Steps follow one another.
+		for (const step of schedule) {
+			// eslint-disable-next-line no-await-in-loop -- The steps run in sequence.
 			await applyStep(fleet, step);
 		}
 
-		for (const versions of fleet.applied) {
+		for (const versions of fleet.activatedVersions) {
 			expect(versions).toEqual(versions.toSorted((a, b) => a - b));
 		}
 
 		fleet.service.setFaults({outage: false});
 		for (const host of fleet.hosts.values()) {
-			host.isCut = false;
+			host.isPartitioned = false;
 		}
 
 		await fleet.clock.advance(12_000);
-		expect(fleet.getVersions()).toEqual(fleet.names.map(() => getAccepted(fleet)));
+		expect(fleet.getVersions()).toEqual(fleet.hostNames.map(() => getAcceptedVersion(fleet)));
 		expect([...fleet.hosts.values()].every(({follower}) => follower.isConfirmed())).toBe(true);
 	}), {seed: 7, numRuns: 60});
 });
--- a/packages/distribution/src/follower.ts
+++ b/packages/distribution/src/follower.ts
@@ -1,50 +1,55 @@
 import type {
 	ConfigurationAnswer, ConfigurationVersion, HostId, Milliseconds,
 } from '@gentianlift/types';
-import {createContact, type Contact} from './contact.js';
-import {defaultTimes, type FollowerOptions, type FollowerTimes} from './follower-options.js';
-import {getVersion} from './follower-state.js';
-import {createHolder, type ChangeListener, type Holder} from './holder.js';
-import {learnInitially} from './initial-learning.js';
+import {createActiveVersion, type ChangeListener, type ActiveVersion} from './active-version.js';
+import {bootstrap} from './bootstrap.js';
+import {defaultTimings, type FollowerOptions, type FollowerTimings} from './follower-options.js';
+import {getVersionNumber} from './follower-state.js';
+import {createLastContact, type LastContact} from './last-contact.js';
 import {createLoop, type Loop} from './loop.js';
 import {packVersion} from './pack.js';
 import {getPeers} from './peer-choice.js';
-import {applyReading, createPeerReader, type PeerReader} from './peer-reader.js';
+import {applyPeerResult, createPeerReader, type PeerReader} from './peer-reader.js';
 import {createPollLoop} from './poll-loop.js';
-import {createRumours} from './rumours.js';
 import {createServiceReader, type ServiceReader} from './service-reader.js';
-import {currentKey} from './store-keys.js';
+import {currentVersionKey} from './store-keys.js';
+import {createVersionFetcher} from './version-fetcher.js';
 import {createWatchLoop} from './watch-loop.js';
 
-/** How far a host knows that its version is the newest. */
-export const followerStandings = ['none', 'confirmed', 'unconfirmed', 'isolated'] as const;
-/** One of `followerStandings`: `none` and `isolated` hosts take no new requests. */
-export type FollowerStanding = typeof followerStandings[number];
+/**
+Statuses of a follower: `none` without a version, `isolated` without recent contact to the key-value service or any peer,
+else whether the active version was recently confirmed to be the newest.
+*/
+export const followerStatuses = ['none', 'confirmed', 'unconfirmed', 'isolated'] as const;
+/** One of `followerStatuses`. A host with the status `none` or `isolated` accepts no new requests. */
+export type FollowerStatus = typeof followerStatuses[number];
 
-/** Follows the accepted configuration at one host. */
+/** Keeps the configuration of one host up to date with the accepted one. */
 export type ConfigurationFollower = {
-	/** Begins to follow; resolves after the first attempt to learn the version. */
+	/** Starts following; resolves after the first attempt to obtain a version. */
 	start: () => Promise<void>;
 	stop: () => void;
-	/** The version in force; its number never falls. */
+	/** Returns the active version; its number never decreases. */
 	getCurrent: () => ConfigurationVersion | undefined;
-	/** Calls back with each version that comes into force from now on. */
+	/** Registers a listener for each version that becomes active from now on. */
 	onChange: (listener: ChangeListener) => void;
-	/** Takes word that a host holds a version. */
+	/** Records that a host advertises a version, and fetches it if it is newer than the active one. */
 	applyRumour: (host: HostId, version: number) => void;
-	/** Whether the version was known to be the newest within the confirmation limit. */
+	/** Whether the active version was known to be the newest within the maximum confirmation age. */
 	isConfirmed: () => boolean;
-	getStanding: () => FollowerStanding;
-	/** Answers the call of a peer. */
+	/** Returns the present status. */
+	getStanding: () => FollowerStatus;
+	/** Answers a peer's request for a version newer than `after`. */
 	readConfiguration: (from: HostId, message: {after: number}) => Promise<ConfigurationAnswer>;
 };
 
-/** Hosts that watch the service. */
+/** Number of hosts that watch the key-value service. */
 const watcherCount = 2;
-const backOffFactor = 2;
+/** Factor by which the delay between attempts to obtain a first version grows. */
+const backoffFactor = 2;
 
-const getAnswer = (holder: Holder, after: number, now: Milliseconds): ConfigurationAnswer => {
-	const {current, confirmedAt} = holder.getState();
+const createAnswer = (activeVersion: ActiveVersion, after: number, now: Milliseconds): ConfigurationAnswer => {
+	const {current, confirmedAt} = activeVersion.getState();
 	const answer: ConfigurationAnswer = {};
 	if (current !== undefined) {
 		answer.version = current.version;
@@ -61,124 +66,126 @@
 	return answer;
 };
 
-type Parts = {
-	times: FollowerTimes;
-	holder: Holder;
-	contact: Contact;
+/** Components that the loops of a follower share. */
+type FollowerComponents = {
+	timings: FollowerTimings;
+	activeVersion: ActiveVersion;
+	lastContact: LastContact;
 	readService: ServiceReader;
 	readPeer: PeerReader;
 	getOwners: () => readonly HostId[];
 };
 
-const isHolderConfirmed = ({clock}: FollowerOptions, {holder, times}: Parts): boolean => {
-	const {confirmedAt} = holder.getState();
-	return confirmedAt !== undefined && clock.monotonic() - confirmedAt <= times.confirmationLimit;
+const isVersionConfirmed = ({clock}: FollowerOptions, {activeVersion, timings}: FollowerComponents): boolean => {
+	const {confirmedAt} = activeVersion.getState();
+	return confirmedAt !== undefined && clock.monotonic() - confirmedAt <= timings.maxConfirmationAge;
 };
 
-const createExchangeLoop = (options: FollowerOptions, parts: Parts): Loop => {
+const createExchangeLoop = (options: FollowerOptions, components: FollowerComponents): Loop => {
 	const {clock, random, metrics, getMembers, self} = options;
-	const {times, holder, readPeer} = parts;
+	const {timings, activeVersion, readPeer} = components;
 	return createLoop(clock, async () => {
 		const peer = random.pick(getPeers(getMembers(), self));
 		if (peer !== undefined) {
-			applyReading(holder, await readPeer(peer.host));
+			applyPeerResult(activeVersion, await readPeer(peer.host));
 		}
 
-		metrics.setGauge('configuration_confirmed', isHolderConfirmed(options, parts) ? 1 : 0);
+		metrics.setGauge('configuration_confirmed', isVersionConfirmed(options, components) ? 1 : 0);
 
-		return times.exchangeInterval * (0.5 + random.next());
+		return timings.exchangeInterval * (0.5 + random.next());
 	});
 };
 
-const createStartLoop = (options: FollowerOptions, parts: Parts, end: () => void): Loop => {
+const createBootstrapLoop = (options: FollowerOptions, components: FollowerComponents, onDone: () => void): Loop => {
 	const {clock, random, getMembers, self} = options;
-	const {times, holder, readService, readPeer, getOwners} = parts;
-	let delay = times.retryInterval;
+	const {timings, activeVersion, readService, readPeer, getOwners} = components;
+	let delay = timings.retryInterval;
 	return createLoop(clock, async () => {
-		const isLearned = await learnInitially({
+		const isDone = await bootstrap({
 			random,
-			holder,
+			activeVersion,
 			readService,
 			readPeer,
 			getPeers: () => getPeers(getMembers(), self),
 			getOwners,
-			getHighestRumour: () => Math.max(0, ...getMembers().map(({configurationVersion}) => configurationVersion)),
+			getHighestAdvertisedVersion: () => Math.max(0, ...getMembers().map(({configurationVersion}) => configurationVersion)),
 		});
-		if (isLearned) {
-			end();
+		if (isDone) {
+			onDone();
 		}
 
-		delay = Math.min(times.watchLimit, delay * backOffFactor);
+		delay = Math.min(timings.watchTimeout, delay * backoffFactor);
 		return delay * (0.5 + random.next());
 	});
 };
 
-const createLoops = (options: FollowerOptions, parts: Parts): Loop[] => {
+const createFollowLoops = (options: FollowerOptions, components: FollowerComponents): Loop[] => {
 	const {clock, random, metrics, keyValue, getMembers, self} = options;
-	const {times, holder, readService, getOwners, contact} = parts;
+	const {timings, activeVersion, readService, getOwners, lastContact} = components;
 	const isWatcher = (): boolean => getOwners().includes(self);
 	return [
 		createWatchLoop({
-			clock, metrics, keyValue, holder, contact, times, isWatcher,
+			clock, metrics, keyValue, activeVersion, lastContact, timings, isWatcher,
 		}),
 		createPollLoop({
-			clock, random, metrics, readService, getSize: () => getPeers(getMembers(), self).length + 1, spacing: times.pollSpacing,
+			clock, random, metrics, readService, getFleetSize: () => getPeers(getMembers(), self).length + 1, fleetPollInterval: timings.fleetPollInterval,
 		}),
-		createExchangeLoop(options, parts),
+		createExchangeLoop(options, components),
 	];
 };
 
-const createParts = (options: FollowerOptions): Parts => {
+const createFollowerComponents = (options: FollowerOptions): FollowerComponents => {
 	const {clock, metrics, keyValue, peers, parse} = options;
-	const times = {...defaultTimes, ...options.times};
-	const holder = createHolder(parse, metrics);
-	const contact = createContact(clock);
+	const timings = {...defaultTimings, ...options.timings};
+	const activeVersion = createActiveVersion(parse, metrics);
+	const lastContact = createLastContact(clock);
 	return {
-		times,
-		holder,
-		contact,
+		timings,
+		activeVersion,
+		lastContact,
 		readService: createServiceReader({
-			clock, keyValue, holder, contact, limit: times.readLimit,
+			clock, keyValue, activeVersion, lastContact, timeout: timings.readTimeout,
 		}),
 		readPeer: createPeerReader({
-			clock, peers, holder, contact,
+			clock, peers, activeVersion, lastContact,
 		}),
-		getOwners: () => options.getOwners(currentKey, watcherCount),
+		getOwners: () => options.getOwners(currentVersionKey, watcherCount),
 	};
 };
 
 /**
 Creates the follower of a host.
-Few hosts watch the service, the others hear of a version from peers; a poll and an exchange with a random peer stand behind both.
+Few hosts watch the key-value service; the others learn of a new version from membership messages and fetch it from a peer.
+Polls of the service and exchanges with a random peer are the fallback for both.
 */
 export const createConfigurationFollower = (options: FollowerOptions): ConfigurationFollower => {
 	const {clock, random, metrics, getMembers, self} = options;
-	const parts = createParts(options);
-	const {times, holder, readPeer, contact} = parts;
-	const loops = createLoops(options, parts);
-	const rumours = createRumours({
-		clock, random, metrics, holder, times, readPeer, getPeers: () => getPeers(getMembers(), self),
+	const components = createFollowerComponents(options);
+	const {timings, activeVersion, readPeer, lastContact} = components;
+	const followLoops = createFollowLoops(options, components);
+	const versionFetcher = createVersionFetcher({
+		clock, random, metrics, activeVersion, timings, readPeer, getPeers: () => getPeers(getMembers(), self),
 	});
 	let isStarted = false;
-	let hadPeers = false;
+	let hasHadPeers = false;
 
-	const startLoop = createStartLoop(options, parts, () => {
-		startLoop.stop();
+	const bootstrapLoop = createBootstrapLoop(options, components, () => {
+		bootstrapLoop.stop();
 		isStarted = true;
-		for (const loop of loops) {
+		for (const loop of followLoops) {
 			loop.start(0);
 		}
 	});
 
-	const isConfirmed = (): boolean => isHolderConfirmed(options, parts);
+	const isConfirmed = (): boolean => isVersionConfirmed(options, components);
 
-	const getStanding = (): FollowerStanding => {
-		hadPeers ||= getMembers().some(({host}) => host !== self);
-		if (getVersion(holder.getState()) === 0) {
+	const getStatus = (): FollowerStatus => {
+		hasHadPeers ||= getMembers().some(({host}) => host !== self);
+		if (getVersionNumber(activeVersion.getState()) === 0) {
 			return 'none';
 		}
 
-		if (hadPeers && contact.getAge() > times.isolationLimit) {
+		if (hasHadPeers && lastContact.getAge() > timings.isolationTimeout) {
 			return 'isolated';
 		}
 
@@ -186,23 +193,23 @@
 	};
 
 	return {
-		start: async () => startLoop.run(),
+		start: async () => bootstrapLoop.run(),
 		stop() {
-			startLoop.stop();
-			rumours.stop();
-			for (const loop of loops) {
+			bootstrapLoop.stop();
+			versionFetcher.stop();
+			for (const loop of followLoops) {
 				loop.stop();
 			}
 		},
-		getCurrent: () => holder.getState().current,
-		onChange: holder.onChange,
+		getCurrent: () => activeVersion.getState().current,
+		onChange: activeVersion.onChange,
 		applyRumour(host, version) {
 			if (isStarted && host !== self) {
-				rumours.apply(host, version);
+				versionFetcher.requestVersion(host, version);
 			}
 		},
 		isConfirmed,
-		getStanding,
-		readConfiguration: async (_from, {after}) => getAnswer(holder, after, clock.monotonic()),
+		getStanding: getStatus,
+		readConfiguration: async (_from, {after}) => createAnswer(activeVersion, after, clock.monotonic()),
 	};
 };
--- a/packages/distribution/src/loop.ts
+++ b/packages/distribution/src/loop.ts
@@ -1,16 +1,16 @@
 import type {Cancel, Clock} from '@gentianlift/clock';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** A step that repeats until stopped. */
+/** A task that repeats until it is stopped. */
 export type Loop = {
-	/** Runs the first step after a while. */
+	/** Schedules the first step after a delay. */
 	start: (after: Milliseconds) => void;
-	/** Runs the first step now; resolves when it has ended. */
+	/** Runs the first step now; resolves when that step has finished. */
 	run: () => Promise<void>;
 	stop: () => void;
 };
 
-/** Creates a loop; each step answers how long to wait before the next. */
+/** Creates a loop. Each step returns the delay before the next one. */
 export const createLoop = (clock: Clock, step: () => Promise<Milliseconds>): Loop => {
 	let isStopped = true;
 	let cancel: Cancel | undefined;
@@ -44,20 +44,20 @@
 	};
 };
 
-/** What became of a call that had to end within a time limit. */
-export type Limited<Value> = {kind: 'ended'; value: Value} | {kind: 'silent'};
+/** Outcome of a call with a timeout. */
+export type TimedOutcome<Value> = {kind: 'completed'; value: Value} | {kind: 'timed-out'};
 
-/** Waits for a call up to a limit. A later end of the call is dropped. */
-export const waitAtMost = async <Value>(clock: Clock, call: Promise<Value>, limit: Milliseconds): Promise<Limited<Value>> => {
+/** Waits for a call until a timeout. The result of a call that finishes later is ignored. */
+export const withTimeout = async <Value>(clock: Clock, call: Promise<Value>, timeout: Milliseconds): Promise<TimedOutcome<Value>> => {
 	let cancel: Cancel | undefined;
-	const silence = new Promise<Limited<Value>>(resolve => {
-		cancel = clock.after(limit, () => {
-			resolve({kind: 'silent'});
+	const timeoutPromise = new Promise<TimedOutcome<Value>>(resolve => {
+		cancel = clock.after(timeout, () => {
+			resolve({kind: 'timed-out'});
 		});
 	});
-	const end = async (): Promise<Limited<Value>> => ({kind: 'ended', value: await call});
+	const awaitCall = async (): Promise<TimedOutcome<Value>> => ({kind: 'completed', value: await call});
 	try {
-		return await Promise.race([end(), silence]);
+		return await Promise.race([awaitCall(), timeoutPromise]);
 	} finally {
 		cancel?.();
 	}
--- a/packages/distribution/src/pack.test.ts
+++ b/packages/distribution/src/pack.test.ts
@@ -12,7 +12,7 @@
 	version: 3, token: 'a', author: '', acceptedAt: 0, note: '', configuration,
 };
 
-test('unpacks what was packed, and nothing else', () => {
+test('unpacks a packed version and rejects other text', () => {
 	expect(unpackVersion(packVersion(version))).toEqual(version);
 	expect(unpackVersion('no version')).toBeUndefined();
 });
--- a/packages/distribution/src/peer-reader.ts
+++ b/packages/distribution/src/peer-reader.ts
@@ -1,52 +1,52 @@
 import type {Clock} from '@gentianlift/clock';
 import type {ConfigurationAnswer, HostId, PeerCalls} from '@gentianlift/types';
-import type {Contact} from './contact.js';
-import {getVersion} from './follower-state.js';
-import type {Holder} from './holder.js';
+import type {ActiveVersion} from './active-version.js';
+import {getVersionNumber} from './follower-state.js';
+import type {LastContact} from './last-contact.js';
 import {unpackVersion} from './pack.js';
 
-/** What a peer answered, or that it didn't. */
-export type PeerReading = {kind: 'answered'; answer: ConfigurationAnswer; confirmedAt: number | undefined} | {kind: 'failed'};
+/** A peer's answer, or the failure to get one. `confirmedAt` is when the answered version was last known to be the newest. */
+export type PeerReadResult = {kind: 'answered'; answer: ConfigurationAnswer; confirmedAt: number | undefined} | {kind: 'failed'};
 
-/** Asks a peer for its version, without applying it. */
-export type PeerReader = (host: HostId) => Promise<PeerReading>;
+/** Reads the version of a peer without applying it. */
+export type PeerReader = (host: HostId) => Promise<PeerReadResult>;
 
-/** What a reader of peers needs. */
+/** Dependencies of a peer reader. */
 export type PeerReaderOptions = {
 	clock: Clock;
 	peers: Pick<PeerCalls, 'readConfiguration'>;
-	holder: Holder;
-	contact: Contact;
+	activeVersion: ActiveVersion;
+	lastContact: LastContact;
 };
 
-const getUnpacked = ({packed, ...answer}: ConfigurationAnswer): ConfigurationAnswer => {
+const unpackAnswer = ({packed, ...answer}: ConfigurationAnswer): ConfigurationAnswer => {
 	const newest = packed === undefined ? answer.newest : unpackVersion(packed);
 	return newest === undefined ? answer : {...answer, newest};
 };
 
-/** Creates a reader of peers. The moment of confirmation counts from before the call, so delays only make it older. */
-export const createPeerReader = ({clock, peers, holder, contact}: PeerReaderOptions): PeerReader => async host => {
-	const askedAt = clock.monotonic();
-	const outcome = await peers.readConfiguration(host, {after: getVersion(holder.getState())});
+/** Creates a peer reader. It computes the confirmation time from the start of the call, so that network delay can only make it older. */
+export const createPeerReader = ({clock, peers, activeVersion, lastContact}: PeerReaderOptions): PeerReader => async host => {
+	const requestedAt = clock.monotonic();
+	const outcome = await peers.readConfiguration(host, {after: getVersionNumber(activeVersion.getState())});
 	if (outcome.kind !== 'answered') {
 		return {kind: 'failed'};
 	}
 
-	contact.note();
-	const answer = getUnpacked(outcome.answer);
-	return {kind: 'answered', answer, confirmedAt: answer.age === undefined ? undefined : askedAt - answer.age};
+	lastContact.record();
+	const answer = unpackAnswer(outcome.answer);
+	return {kind: 'answered', answer, confirmedAt: answer.age === undefined ? undefined : requestedAt - answer.age};
 };
 
-/** Applies what a peer answered to the version in force. */
-export const applyReading = (holder: Holder, reading: PeerReading): void => {
-	if (reading.kind === 'failed') {
+/** Applies a peer's answer to the active version. */
+export const applyPeerResult = (activeVersion: ActiveVersion, result: PeerReadResult): void => {
+	if (result.kind === 'failed') {
 		return;
 	}
 
-	const {answer: {newest, version}, confirmedAt} = reading;
+	const {answer: {newest, version}, confirmedAt} = result;
 	if (newest !== undefined) {
-		holder.offerVersion(newest, confirmedAt);
+		activeVersion.applyPeerVersion(newest, confirmedAt);
 	} else if (version !== undefined && confirmedAt !== undefined) {
-		holder.confirm(version, confirmedAt);
+		activeVersion.confirm(version, confirmedAt);
 	}
 };
--- a/packages/distribution/src/poll-loop.ts
+++ b/packages/distribution/src/poll-loop.ts
@@ -4,23 +4,26 @@
 import {createLoop, type Loop} from './loop.js';
 import type {ServiceReader} from './service-reader.js';
 
-/** What the poll loop needs. */
-export type PollOptions = {
+/** Dependencies and options of the poll loop. */
+export type PollLoopOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	readService: ServiceReader;
-	/** Number of hosts in the fleet, at least 1. */
-	getSize: () => number;
-	/** Mean time between two polls of the whole fleet. */
-	spacing: Milliseconds;
+	/** Returns the number of hosts in the fleet, at least 1. */
+	getFleetSize: () => number;
+	/** Mean time between two polls, counted over all hosts of the fleet. */
+	fleetPollInterval: Milliseconds;
 };
 
-/** Creates the loop that polls the service; the more hosts there are, the less often each does. */
-export const createPollLoop = ({clock, random, metrics, readService, getSize, spacing}: PollOptions): Loop =>
+/**
+Creates the loop that polls the key-value service.
+Its interval grows with the number of hosts, which keeps the load on the service constant.
+*/
+export const createPollLoop = ({clock, random, metrics, readService, getFleetSize, fleetPollInterval}: PollLoopOptions): Loop =>
 	createLoop(clock, async () => {
 		const result = await readService();
 		metrics.count('configuration_poll', {result});
 		const jitter = 0.5 + random.next();
-		return getSize() * spacing * jitter;
+		return getFleetSize() * fleetPollInterval * jitter;
 	});
--- a/packages/distribution/src/publish-state.ts
+++ b/packages/distribution/src/publish-state.ts
@@ -1,27 +1,27 @@
 import {getDifference, type Change} from '@gentianlift/config';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 
-/** What an operator wants to be accepted. */
+/** A configuration that an operator submits for acceptance. */
 export type Publication = {
 	/** A valid configuration. */
 	configuration: Configuration;
-	/** Version that the change was made from; 0 if there was none. */
+	/** Number of the version that the change was based on; 0 if there was none. */
 	base: number;
-	/** Unique text of this publication. */
+	/** Unique identifier of this publication. */
 	token: string;
 	author: string;
 	note: string;
 };
 
-/** What the publisher finds at the service. */
-export type Finding = {
+/** Versions that the publisher read from the key-value service. */
+export type ObservedVersions = {
 	/** The newest accepted version, if any. */
 	current?: ConfigurationVersion;
-	/** The version that follows the base, once a newer one is current; absent if it couldn't be found. */
+	/** The version right after the base, read from the history once a later one is current; absent if it wasn't read. */
 	successor?: ConfigurationVersion;
 };
 
-/** What the publisher does next. */
+/** Next step of the publisher. */
 export type PublishStep
 	= | {kind: 'write'; version: number}
 		| {kind: 'read-successor'; version: number}
@@ -29,7 +29,7 @@
 		| {kind: 'unchanged'; version: ConfigurationVersion}
 		| {kind: 'conflict'; current?: ConfigurationVersion; changes: Change[]};
 
-const getConflict = (publication: Publication, current: ConfigurationVersion | undefined): PublishStep => {
+const getConflictStep = (publication: Publication, current: ConfigurationVersion | undefined): PublishStep => {
 	const changes = getDifference(current?.configuration, publication.configuration);
 	if (current !== undefined && changes.length === 0) {
 		return {kind: 'unchanged', version: current};
@@ -39,29 +39,29 @@
 };
 
 /**
-Gets what a publisher does after it read the service.
-`isWritten` says that one of its writes may have taken effect or may still do so. Only a further compare-and-swap on the same
-revision settles that: once the revision has moved on, whoever moved it, an earlier write can't take effect any more.
+Returns the publisher's next step after a read of the key-value service.
+`hasUnsettledWrite` is whether one of its writes may have taken effect or may still take effect. Another compare-and-swap on the
+same revision settles this: once any write has advanced the revision, an earlier write can no longer take effect.
 */
-export const getPublishStep = (publication: Publication, {current, successor}: Finding, isWritten: boolean): PublishStep => {
-	const version = current?.version ?? 0;
-	const next = publication.base + 1;
+export const getPublishStep = (publication: Publication, {current, successor}: ObservedVersions, hasUnsettledWrite: boolean): PublishStep => {
+	const currentNumber = current?.version ?? 0;
+	const nextNumber = publication.base + 1;
 	if (current?.token === publication.token) {
 		return {kind: 'accepted', version: current};
 	}
 
-	if (version === publication.base) {
-		const isSame = current !== undefined && getDifference(current.configuration, publication.configuration).length === 0;
-		return isSame ? {kind: 'unchanged', version: current} : {kind: 'write', version: next};
+	if (currentNumber === publication.base) {
+		const isUnchanged = current !== undefined && getDifference(current.configuration, publication.configuration).length === 0;
+		return isUnchanged ? {kind: 'unchanged', version: current} : {kind: 'write', version: nextNumber};
 	}
 
-	if (!isWritten || version <= next) {
-		return getConflict(publication, current);
+	if (!hasUnsettledWrite || currentNumber <= nextNumber) {
+		return getConflictStep(publication, current);
 	}
 
 	if (successor === undefined) {
-		return {kind: 'read-successor', version: next};
+		return {kind: 'read-successor', version: nextNumber};
 	}
 
-	return successor.token === publication.token ? {kind: 'accepted', version: successor} : getConflict(publication, current);
+	return successor.token === publication.token ? {kind: 'accepted', version: successor} : getConflictStep(publication, current);
 };
--- a/packages/distribution/src/publish.test.ts
+++ b/packages/distribution/src/publish.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {
-	currentKey, publishConfiguration, readHistory, readVersion, updateHistory, type PublishOutcome,
+	currentVersionKey, publishConfiguration, readHistory, readVersion, updateHistory, type PublishOutcome,
 } from './index.js';
 
 const parse = (document: unknown): Parsed<Configuration> =>
@@ -19,60 +19,60 @@
 		publishConfiguration({clock, keyValue: service, parse}, {
 			document, base, token, author: 'test', note: '',
 		});
-	const publishNow = async (document: unknown, base: number): Promise<PublishOutcome> => {
+	const publishAndWait = async (document: unknown, base: number): Promise<PublishOutcome> => {
 		const outcome = publish(document, base);
 		await clock.advance(10_000);
 		return outcome;
 	};
 
 	const getAccepted = (): ConfigurationVersion[] => service.getHistory()
-		.filter(({key}) => key === currentKey)
+		.filter(({key}) => key === currentVersionKey)
 		.map(({value}) => JSON.parse(value!) as ConfigurationVersion);
 	return {
-		clock, service, publish, publishNow, getAccepted,
+		clock, service, publish, publishAndWait, getAccepted,
 	};
 };
 
-test('accepts versions one after another and keeps them', async () => {
-	const {service, publishNow} = createService();
-	expect(await publishNow('a', 0)).toMatchObject({kind: 'applied', version: {version: 1}});
-	expect(await publishNow('b', 1)).toMatchObject({kind: 'applied', version: {version: 2}});
-	expect(await publishNow('b', 1)).toMatchObject({kind: 'unchanged', version: {version: 2}});
+test('accepts consecutive versions and keeps them in the history', async () => {
+	const {service, publishAndWait} = createService();
+	expect(await publishAndWait('a', 0)).toMatchObject({kind: 'applied', version: {version: 1}});
+	expect(await publishAndWait('b', 1)).toMatchObject({kind: 'applied', version: {version: 2}});
+	expect(await publishAndWait('b', 1)).toMatchObject({kind: 'unchanged', version: {version: 2}});
 	const history = await readHistory(service, 10);
 	expect(history.map(reading => reading.kind === 'found' && reading.stored.version.configuration)).toEqual(['b', 'a']);
 	expect(await readVersion(service, 1)).toMatchObject({kind: 'found', stored: {version: {version: 1}}});
 	expect(await readVersion(service, 7)).toEqual({kind: 'absent'});
 });
 
-test('refuses an invalid configuration without a call', async () => {
-	const {service, publishNow} = createService();
-	expect(await publishNow('bad', 0)).toMatchObject({kind: 'invalid'});
+test('rejects an invalid configuration without writing to the service', async () => {
+	const {service, publishAndWait} = createService();
+	expect(await publishAndWait('bad', 0)).toMatchObject({kind: 'invalid'});
 	expect(service.getCalls().writes).toBe(0);
 });
 
-test('shows the difference to another operator\'s change', async () => {
-	const {publishNow} = createService();
-	await publishNow({limit: 1}, 0);
-	await publishNow({limit: 2}, 1);
-	expect(await publishNow({limit: 3}, 1)).toMatchObject({kind: 'conflict', current: {version: 2}, changes: [{path: '$.limit', before: 2, after: 3}]});
-	expect(await publishNow({limit: 3}, 9)).toMatchObject({kind: 'conflict'});
+test('reports a conflict with the difference to another operator\'s version', async () => {
+	const {publishAndWait} = createService();
+	await publishAndWait({limit: 1}, 0);
+	await publishAndWait({limit: 2}, 1);
+	expect(await publishAndWait({limit: 3}, 1)).toMatchObject({kind: 'conflict', current: {version: 2}, changes: [{path: '$.limit', before: 2, after: 3}]});
+	expect(await publishAndWait({limit: 3}, 9)).toMatchObject({kind: 'conflict'});
 });
 
-test('settles a lost reply', async () => {
-	const {service, publishNow, getAccepted} = createService();
+test('resolves a write whose reply was lost', async () => {
+	const {service, publishAndWait, getAccepted} = createService();
 	service.failWrites('lost-reply');
-	expect(await publishNow('a', 0)).toMatchObject({kind: 'applied', version: {token: 'token-1'}});
+	expect(await publishAndWait('a', 0)).toMatchObject({kind: 'applied', version: {token: 'token-1'}});
 	expect(getAccepted()).toHaveLength(1);
 });
 
-test('settles a write that lands late', async () => {
-	const {service, publishNow, getAccepted} = createService();
+test('resolves a write that takes effect late', async () => {
+	const {service, publishAndWait, getAccepted} = createService();
 	service.failWrites('late');
-	expect(await publishNow('a', 0)).toMatchObject({kind: 'applied'});
+	expect(await publishAndWait('a', 0)).toMatchObject({kind: 'applied'});
 	expect(getAccepted()).toHaveLength(1);
 });
 
-test('finds its write behind the one of another operator', async () => {
+test('finds its accepted write in the history after another operator published a newer version', async () => {
 	const {clock, service, publish, getAccepted} = createService();
 	service.failWrites('lost-reply');
 	const first = publish('a', 0);
@@ -84,7 +84,7 @@
 	expect(getAccepted().map(({configuration}) => configuration)).toEqual(['a', 'b']);
 });
 
-test('finds its write that reached the service twice', async () => {
+test('recognises its own write that was delivered twice', async () => {
 	const {clock, service, publish} = createService();
 	const {compareAndSwap} = service;
 	service.compareAndSwap = async write => {
@@ -101,44 +101,44 @@
 	expect(await second).toMatchObject({kind: 'applied', version: {version: 2}});
 });
 
-test('tells unavailable from unknown', async () => {
-	const {service, publishNow} = createService();
+test('distinguishes an unavailable service from an unknown outcome', async () => {
+	const {service, publishAndWait} = createService();
 	service.setFaults({outage: true});
-	expect(await publishNow('a', 0)).toEqual({kind: 'unavailable', reason: 'outage'});
+	expect(await publishAndWait('a', 0)).toEqual({kind: 'unavailable', reason: 'outage'});
 	service.setFaults({
 		outage: false, chances: {
 			'lost-reply': 0, late: 0, dropped: 1, refused: 0,
 		},
 	});
-	expect(await publishNow('a', 0)).toEqual({kind: 'unknown', token: 'token-2', reason: 'dropped'});
+	expect(await publishAndWait('a', 0)).toEqual({kind: 'unknown', token: 'token-2', reason: 'dropped'});
 });
 
 test('replaces a current version that is no longer valid', async () => {
-	const {service, publishNow} = createService();
+	const {service, publishAndWait} = createService();
 	const value = JSON.stringify({
 		version: 4, token: 'x', author: '', acceptedAt: 0, note: '', configuration: 'bad',
 	});
-	await service.compareAndSwap({key: currentKey, value, expected: 0});
-	expect(await publishNow('a', 4)).toMatchObject({kind: 'applied', version: {version: 5}});
+	await service.compareAndSwap({key: currentVersionKey, value, expected: 0});
+	expect(await publishAndWait('a', 4)).toMatchObject({kind: 'applied', version: {version: 5}});
 });
 
 const createVersion = (version: number): ConfigurationVersion => ({
 	version, token: `token ${version}`, author: '', acceptedAt: 0, note: '', configuration: 'a' as unknown as Configuration,
 });
 
-test('waits for two calls one after another when the history is complete', async () => {
-	const {clock, service, publish, publishNow} = createService();
-	const first = await publishNow('a', 0);
+test('makes two sequential calls when the history already holds the base version', async () => {
+	const {clock, service, publish, publishAndWait} = createService();
+	const first = await publishAndWait('a', 0);
 	await updateHistory(service, first.kind === 'applied' ? first.version : createVersion(0));
 	service.setFaults({latency: 1000});
 	const second = publish('b', 1);
 	await clock.advance(2000);
-	expect(service.peek(currentKey)?.value).toContain('"b"');
+	expect(service.peek(currentVersionKey)?.value).toContain('"b"');
 	await clock.advance(1000);
 	expect(await second).toMatchObject({kind: 'applied'});
 });
 
-test('removes versions that are too old', async () => {
+test('removes versions that exceed the length of the history', async () => {
 	const {service} = createService();
 	await service.compareAndSwap({key: 'configuration/history/5', value: '', expected: 0});
 	await updateHistory(service, createVersion(205));
@@ -150,15 +150,15 @@
 	'lost-reply': fc.constantFrom(0, 0.2), late: fc.constantFrom(0, 0.2, 0.5), dropped: fc.constantFrom(0, 0.2), refused: fc.constantFrom(0, 0.2),
 });
 
-test('tells every operator the truth under faults', async () => {
-	await fc.assert(fc.asyncProperty(fc.integer(), chances, fc.array(fc.tuple(fc.nat(3000), fc.nat(4)), {maxLength: 8}), async (seed, faults, plan) => {
+test('reports an outcome to each operator that matches the accepted versions under faults', async () => {
+	await fc.assert(fc.asyncProperty(fc.integer(), chances, fc.array(fc.tuple(fc.nat(3000), fc.nat(4)), {maxLength: 8}), async (seed, faults, schedule) => {
 		const {clock, service, publish, getAccepted} = createService(seed);
 		service.setFaults({chances: faults, lateLimit: 4000});
 		const outcomes = new Map<string, Promise<PublishOutcome>>();
-		for (const [index, [wait, back]] of plan.entries()) {
+		for (const [index, [wait, baseChoice]] of schedule.entries()) {
 			const newest = getAccepted().at(-1)?.version ?? 0;
-			outcomes.set(`t${index}`, publish(`c${index}`, Math.max(0, newest - (back === 0 ? 1 : 0)), `t${index}`));
-			// eslint-disable-next-line no-await-in-loop -- Operators act one after another, their calls overlap.
+			outcomes.set(`t${index}`, publish(`c${index}`, Math.max(0, newest - (baseChoice === 0 ? 1 : 0)), `t${index}`));
+			// eslint-disable-next-line no-await-in-loop -- The operators start in sequence; their calls overlap.
 			await clock.advance(wait);
 		}
 
--- a/packages/distribution/src/publish.ts
+++ b/packages/distribution/src/publish.ts
@@ -1,29 +1,29 @@
 import type {Clock} from '@gentianlift/clock';
 import {
-	parseConfiguration, type Change, type ConfigurationParse, type Diagnostic,
+	parseConfiguration, type Change, type ConfigurationParser, type Diagnostic,
 } from '@gentianlift/config';
 import type {
 	ConfigurationVersion, KeyValueService, Milliseconds, WriteOutcome,
 } from '@gentianlift/types';
-import {getPublishStep, type Finding, type Publication} from './publish-state.js';
-import {currentKey, getHistoryKey} from './store-keys.js';
+import {getPublishStep, type ObservedVersions, type Publication} from './publish-state.js';
+import {currentVersionKey, getHistoryKey} from './store-keys.js';
 import {
 	readCurrentVersion, readVersion, type StoredVersion, type VersionReading,
 } from './store.js';
 
-/** What a publisher needs. */
+/** Dependencies and options of `publishConfiguration`. */
 export type PublishOptions = {
 	clock: Clock;
 	keyValue: Pick<KeyValueService, 'read' | 'compareAndSwap' | 'remove'>;
-	parse?: ConfigurationParse;
-	/** Time after which the publisher gives up. */
-	limit?: Milliseconds;
+	parse?: ConfigurationParser;
+	/** Time after which no further attempt is made. */
+	timeout?: Milliseconds;
 };
 
-/** A document to publish, and who does it. */
+/** A configuration document to publish, with its base version, token, author and note. */
 export type PublishRequest = Omit<Publication, 'configuration'> & {document: unknown};
 
-/** Outcome of a publication; `unknown` may still be accepted later. */
+/** Outcome of a publication. With `unknown`, the version may still be accepted later. */
 export type PublishOutcome
 	= | {kind: 'applied'; version: ConfigurationVersion}
 		| {kind: 'unchanged'; version: ConfigurationVersion}
@@ -32,28 +32,30 @@
 		| {kind: 'unavailable'; reason: string}
 		| {kind: 'unknown'; token: string; reason: string};
 
-const defaultLimit = 8000;
-const retryInterval = 250;
-/** Versions kept in the history. */
-const historyLength = 200;
+const defaultTimeoutMs = 8000;
+const retryIntervalMs = 250;
+/** Number of versions that the history keeps; older ones are removed. */
+const maxHistoryVersions = 200;
 
-type Attempt = {
+/** State of one call of `publishConfiguration`, kept between its reads and writes. */
+type PublishAttempt = {
 	options: Required<PublishOptions>;
 	publication: Publication;
-	/** Whether one of the writes may have taken effect or may still do so. */
-	isWritten: boolean;
-	/** Whether the history holds the base. */
-	isBaseKept: boolean;
-	reason: string;
+	/** Whether one of the writes so far may have taken effect or may still take effect. */
+	hasUnsettledWrite: boolean;
+	/** Whether the history already holds the base version. */
+	isBaseArchived: boolean;
+	/** Reason of the latest failed call to the key-value service; empty if there was none. */
+	lastFailure: string;
 };
 
-/** Keeps the current version in the history before a newer one replaces it, so that the history never has a hole. */
-const keepInHistory = async (
+/** Copies the current version into the history before a newer one replaces it, so that the history has no gaps. */
+const archiveVersion = async (
 	keyValue: PublishOptions['keyValue'],
 	{version, text}: Pick<StoredVersion, 'version' | 'text'>,
 ): Promise<WriteOutcome> => keyValue.compareAndSwap({key: getHistoryKey(version.version), value: text, expected: 0});
 
-const createVersion = ({options, publication}: Attempt, version: number): ConfigurationVersion => ({
+const createVersion = ({options, publication}: PublishAttempt, version: number): ConfigurationVersion => ({
 	version,
 	token: publication.token,
 	author: publication.author,
@@ -62,17 +64,17 @@
 	configuration: publication.configuration,
 });
 
-const write = async (attempt: Attempt, number: number, stored: StoredVersion | undefined): Promise<PublishOutcome | undefined> => {
+const writeVersion = async (attempt: PublishAttempt, versionNumber: number, stored: StoredVersion | undefined): Promise<PublishOutcome | undefined> => {
 	const {options} = attempt;
-	const kept = stored === undefined || attempt.isBaseKept ? undefined : await keepInHistory(options.keyValue, stored);
-	if (kept?.kind === 'unavailable' || kept?.kind === 'unknown') {
-		attempt.reason = kept.reason;
+	const archived = stored === undefined || attempt.isBaseArchived ? undefined : await archiveVersion(options.keyValue, stored);
+	if (archived?.kind === 'unavailable' || archived?.kind === 'unknown') {
+		attempt.lastFailure = archived.reason;
 		return undefined;
 	}
 
-	const version = createVersion(attempt, number);
+	const version = createVersion(attempt, versionNumber);
 	const outcome = await options.keyValue.compareAndSwap({
-		key: currentKey, value: JSON.stringify(version), expected: stored?.revision ?? 0,
+		key: currentVersionKey, value: JSON.stringify(version), expected: stored?.revision ?? 0,
 	});
 	switch (outcome.kind) {
 		case 'applied': {
@@ -80,35 +82,35 @@
 		}
 
 		case 'unknown': {
-			attempt.isWritten = true;
-			attempt.reason = outcome.reason;
+			attempt.hasUnsettledWrite = true;
+			attempt.lastFailure = outcome.reason;
 			return undefined;
 		}
 
-		// The rejection may be of a second arrival of a write that took effect.
+		// The service may have received the write twice: the first delivery took effect and the second was rejected.
 		case 'rejected': {
-			attempt.isWritten = true;
+			attempt.hasUnsettledWrite = true;
 			return undefined;
 		}
 
 		case 'unavailable': {
-			attempt.reason = outcome.reason;
+			attempt.lastFailure = outcome.reason;
 			return undefined;
 		}
 	}
 };
 
-/** Takes one round of reading and acting; undefined if another is needed. */
-const takeRound = async (attempt: Attempt, found: Finding, stored: StoredVersion | undefined): Promise<PublishOutcome | undefined> => {
-	const step = getPublishStep(attempt.publication, found, attempt.isWritten);
+/** Performs the step that follows from what was read. Returns undefined if the service has to be read again. */
+const performStep = async (attempt: PublishAttempt, observed: ObservedVersions, stored: StoredVersion | undefined): Promise<PublishOutcome | undefined> => {
+	const step = getPublishStep(attempt.publication, observed, attempt.hasUnsettledWrite);
 	switch (step.kind) {
 		case 'write': {
-			return write(attempt, step.version, stored);
+			return writeVersion(attempt, step.version, stored);
 		}
 
 		case 'read-successor': {
-			const reading = await readVersion(attempt.options.keyValue, step.version);
-			return reading.kind === 'found' ? takeRound(attempt, {...found, successor: reading.stored.version}, stored) : undefined;
+			const readOutcome = await readVersion(attempt.options.keyValue, step.version);
+			return readOutcome.kind === 'found' ? performStep(attempt, {...observed, successor: readOutcome.stored.version}, stored) : undefined;
 		}
 
 		case 'accepted': {
@@ -122,82 +124,85 @@
 	}
 };
 
-/** Reads the current version, and at the same time whether the history holds the base, since each call may take long. */
-const readCurrentAndBase = async (attempt: Attempt): Promise<VersionReading> => {
+/** Reads the current version and, in parallel because each call may be slow, whether the history holds the base version. */
+const readCurrentAndBase = async (attempt: PublishAttempt): Promise<VersionReading> => {
 	const {options: {keyValue}, publication: {base}} = attempt;
 	const [current, history] = await Promise.all([
 		readCurrentVersion(keyValue),
-		attempt.isBaseKept || base === 0 ? undefined : keyValue.read(getHistoryKey(base)),
+		attempt.isBaseArchived || base === 0 ? undefined : keyValue.read(getHistoryKey(base)),
 	]);
-	attempt.isBaseKept ||= history?.kind === 'found';
+	attempt.isBaseArchived ||= history?.kind === 'found';
 	return current;
 };
 
-const readAndTakeRound = async (attempt: Attempt): Promise<PublishOutcome | undefined> => {
-	const reading = await readCurrentAndBase(attempt);
-	switch (reading.kind) {
+const readAndPerformStep = async (attempt: PublishAttempt): Promise<PublishOutcome | undefined> => {
+	const readOutcome = await readCurrentAndBase(attempt);
+	switch (readOutcome.kind) {
 		case 'found': {
-			return takeRound(attempt, {current: reading.stored.version}, reading.stored);
+			return performStep(attempt, {current: readOutcome.stored.version}, readOutcome.stored);
 		}
 
 		case 'absent': {
-			return takeRound(attempt, {}, undefined);
+			return performStep(attempt, {}, undefined);
 		}
 
 		case 'unavailable': {
-			attempt.reason = reading.reason;
+			attempt.lastFailure = readOutcome.reason;
 			return undefined;
 		}
 	}
 };
 
-const getGivenUp = ({isWritten, publication, reason}: Attempt): PublishOutcome =>
-	isWritten ? {kind: 'unknown', token: publication.token, reason} : {kind: 'unavailable', reason};
+const getTimeoutOutcome = ({hasUnsettledWrite, publication, lastFailure}: PublishAttempt): PublishOutcome =>
+	hasUnsettledWrite ? {kind: 'unknown', token: publication.token, reason: lastFailure} : {kind: 'unavailable', reason: lastFailure};
 
 /**
 Publishes a configuration as the version after its base.
-A write whose reply was lost is settled by further compare-and-swaps until the limit; only then is the outcome `unknown`.
+A write whose reply was lost is resolved by further compare-and-swaps until the timeout; the outcome is `unknown` only if that fails.
 */
 export const publishConfiguration = async (options: PublishOptions, request: PublishRequest): Promise<PublishOutcome> => {
-	const {clock, keyValue, parse = parseConfiguration, limit = defaultLimit} = options;
-	const {document, ...rest} = request;
+	const {clock, keyValue, parse = parseConfiguration, timeout = defaultTimeoutMs} = options;
+	const {document, ...publicationFields} = request;
 	const parsed = parse(document);
 	if (parsed.kind === 'invalid') {
 		return parsed;
 	}
 
-	const attempt: Attempt = {
+	const attempt: PublishAttempt = {
 		options: {
-			clock, keyValue, parse, limit,
+			clock, keyValue, parse, timeout,
 		},
-		publication: {...rest, configuration: parsed.value},
-		isWritten: false,
-		isBaseKept: false,
-		reason: '',
+		publication: {...publicationFields, configuration: parsed.value},
+		hasUnsettledWrite: false,
+		isBaseArchived: false,
+		lastFailure: '',
 	};
-	const end = clock.monotonic() + limit;
+	const deadline = clock.monotonic() + timeout;
 	do {
-		// eslint-disable-next-line no-await-in-loop -- Each round depends on what the one before it found.
-		const outcome = await readAndTakeRound(attempt);
+		// eslint-disable-next-line no-await-in-loop -- Each iteration depends on the result of the previous one.
+		const outcome = await readAndPerformStep(attempt);
 		if (outcome !== undefined) {
 			return outcome;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- A wait between two rounds.
-		await clock.sleep(retryInterval);
-	} while (clock.monotonic() < end);
+		// eslint-disable-next-line no-await-in-loop -- Waits before the next iteration.
+		await clock.sleep(retryIntervalMs);
+	} while (clock.monotonic() < deadline);
 
-	return getGivenUp(attempt);
+	return getTimeoutOutcome(attempt);
 };
 
-/** Keeps an accepted version in the history at once, which saves the next publication a call, and removes the one that is too old. */
+/**
+Copies an accepted version into the history, so that the next publication needn't write it first,
+and removes the version that exceeds the length of the history.
+*/
 export const updateHistory = async (keyValue: PublishOptions['keyValue'], version: ConfigurationVersion): Promise<void> => {
-	await keepInHistory(keyValue, {version, text: JSON.stringify(version)});
-	if (version.version <= historyLength) {
+	await archiveVersion(keyValue, {version, text: JSON.stringify(version)});
+	if (version.version <= maxHistoryVersions) {
 		return;
 	}
 
-	const key = getHistoryKey(version.version - historyLength);
+	const key = getHistoryKey(version.version - maxHistoryVersions);
 	const outcome = await keyValue.read(key);
 	if (outcome.kind === 'found') {
 		await keyValue.remove(key, outcome.entry.revision);
--- a/packages/distribution/src/service-reader.ts
+++ b/packages/distribution/src/service-reader.ts
@@ -1,37 +1,37 @@
 import type {Clock} from '@gentianlift/clock';
 import type {KeyValueService, Milliseconds} from '@gentianlift/types';
-import type {Contact} from './contact.js';
-import type {Holder} from './holder.js';
-import {waitAtMost} from './loop.js';
-import {currentKey} from './store-keys.js';
+import type {ActiveVersion} from './active-version.js';
+import type {LastContact} from './last-contact.js';
+import {withTimeout} from './loop.js';
+import {currentVersionKey} from './store-keys.js';
 
-/** What a read of the service brought. */
-export type ReadResult = 'newer' | 'same' | 'absent' | 'unavailable';
+/** Result of reading the key-value service; `newer` if the version that was read became active. */
+export type ServiceReadResult = 'newer' | 'same' | 'absent' | 'unavailable';
 
-/** Reads the newest version from the service. */
-export type ServiceReader = () => Promise<ReadResult>;
+/** Reads the newest version from the key-value service and applies it. */
+export type ServiceReader = () => Promise<ServiceReadResult>;
 
-/** What a reader needs. */
-export type ReaderOptions = {
+/** Dependencies and options of a service reader. */
+export type ServiceReaderOptions = {
 	clock: Clock;
 	keyValue: Pick<KeyValueService, 'read'>;
-	holder: Holder;
-	contact: Contact;
-	limit: Milliseconds;
+	activeVersion: ActiveVersion;
+	lastContact: LastContact;
+	timeout: Milliseconds;
 };
 
-/** Creates a reader that offers what it reads to the holder. */
-export const createServiceReader = ({clock, keyValue, holder, contact, limit}: ReaderOptions): ServiceReader => async () => {
-	const askedAt = clock.monotonic();
-	const call = await waitAtMost(clock, keyValue.read(currentKey), limit);
-	if (call.kind === 'silent' || call.value.kind === 'unavailable') {
+/** Creates a service reader that applies what it reads to the active version. */
+export const createServiceReader = ({clock, keyValue, activeVersion, lastContact, timeout}: ServiceReaderOptions): ServiceReader => async () => {
+	const requestedAt = clock.monotonic();
+	const call = await withTimeout(clock, keyValue.read(currentVersionKey), timeout);
+	if (call.kind === 'timed-out' || call.value.kind === 'unavailable') {
 		return 'unavailable';
 	}
 
-	contact.note();
+	lastContact.record();
 	if (call.value.kind === 'absent') {
 		return 'absent';
 	}
 
-	return holder.offerEntry(call.value.entry, askedAt) ? 'newer' : 'same';
+	return activeVersion.applyEntry(call.value.entry, requestedAt) ? 'newer' : 'same';
 };
--- a/packages/distribution/src/store-keys.ts
+++ b/packages/distribution/src/store-keys.ts
@@ -1,5 +1,5 @@
-/** Key of the newest accepted version in the key-value service. */
-export const currentKey = 'configuration/current';
+/** Key of the newest accepted configuration version in the key-value service. */
+export const currentVersionKey = 'configuration/current';
 
-/** Gets the key under which an accepted version is kept once a newer one follows. */
+/** Returns the key under which the history keeps an accepted version. */
 export const getHistoryKey = (version: number): string => `configuration/history/${version}`;
--- a/packages/distribution/src/store.ts
+++ b/packages/distribution/src/store.ts
@@ -2,38 +2,38 @@
 import type {
 	Configuration, ConfigurationVersion, Entry, KeyValueService,
 } from '@gentianlift/types';
-import {currentKey, getHistoryKey} from './store-keys.js';
+import {currentVersionKey, getHistoryKey} from './store-keys.js';
 
-/** An accepted version and the revision under which the service holds it. */
+/** An accepted version with its stored text and the revision of its key in the key-value service. */
 export type StoredVersion = {revision: number; text: string; version: ConfigurationVersion};
 
-/** Outcome of a read of an accepted version. */
+/** Outcome of reading an accepted version. */
 export type VersionReading
 	= | {kind: 'found'; stored: StoredVersion}
 		| {kind: 'absent'}
 		| {kind: 'unavailable'; reason: string};
 
-/** Takes any configuration: what was accepted once stays readable after the rules for configurations have changed. */
-const acceptAny = (document: unknown) => ({kind: 'valid', value: document as Configuration} as const);
+/** Accepts a stored configuration without validation, so that old versions stay readable after the validation rules change. */
+const skipValidation = (document: unknown) => ({kind: 'valid', value: document as Configuration} as const);
 
-const getReading = ({key, value, revision}: Entry): VersionReading => {
-	const parsed = parseVersionText(value, acceptAny);
+const parseEntry = ({key, value, revision}: Entry): VersionReading => {
+	const parsed = parseVersionText(value, skipValidation);
 	if (parsed.kind === 'valid') {
 		return {kind: 'found', stored: {revision, text: value, version: parsed.value}};
 	}
 
-	const faults = parsed.faults.map(fault => formatDiagnostic(fault));
-	return {kind: 'unavailable', reason: `${key} holds no accepted version: ${faults.join('; ')}`};
+	const diagnostics = parsed.faults.map(fault => formatDiagnostic(fault));
+	return {kind: 'unavailable', reason: `${key} holds no accepted version: ${diagnostics.join('; ')}`};
 };
 
 const readVersionAt = async (keyValue: Pick<KeyValueService, 'read'>, key: string): Promise<VersionReading> => {
 	const outcome = await keyValue.read(key);
-	return outcome.kind === 'found' ? getReading(outcome.entry) : outcome;
+	return outcome.kind === 'found' ? parseEntry(outcome.entry) : outcome;
 };
 
 /** Reads the newest accepted version. */
 export const readCurrentVersion = async (keyValue: Pick<KeyValueService, 'read'>): Promise<VersionReading> =>
-	readVersionAt(keyValue, currentKey);
+	readVersionAt(keyValue, currentVersionKey);
 
 /** Reads an accepted version by its number, the newest or one of the history. */
 export const readVersion = async (keyValue: Pick<KeyValueService, 'read'>, version: number): Promise<VersionReading> => {
@@ -45,15 +45,15 @@
 	return readVersionAt(keyValue, getHistoryKey(version));
 };
 
-/** Reads the newest versions, the newest first; those that were removed are left out. */
+/** Reads up to `count` of the newest versions, the newest first. Versions that were removed from the history are left out. */
 export const readHistory = async (keyValue: Pick<KeyValueService, 'read'>, count: number): Promise<VersionReading[]> => {
 	const current = await readCurrentVersion(keyValue);
 	if (current.kind !== 'found') {
 		return current.kind === 'absent' ? [] : [current];
 	}
 
-	const newest = current.stored.version.version;
-	const numbers = Array.from({length: Math.min(count, newest) - 1}, (_, index) => newest - 1 - index);
-	const older = await Promise.all(numbers.map(async number => readVersionAt(keyValue, getHistoryKey(number))));
-	return [current, ...older.filter(({kind}) => kind !== 'absent')];
+	const newestNumber = current.stored.version.version;
+	const olderNumbers = Array.from({length: Math.min(count, newestNumber) - 1}, (_, index) => newestNumber - 1 - index);
+	const olderOutcomes = await Promise.all(olderNumbers.map(async number => readVersionAt(keyValue, getHistoryKey(number))));
+	return [current, ...olderOutcomes.filter(({kind}) => kind !== 'absent')];
 };
--- a/packages/distribution/src/watch-loop.ts
+++ b/packages/distribution/src/watch-loop.ts
@@ -1,37 +1,37 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {KeyValueService, Milliseconds} from '@gentianlift/types';
-import type {Contact} from './contact.js';
-import type {FollowerTimes} from './follower-options.js';
-import {getVersion} from './follower-state.js';
-import type {Holder} from './holder.js';
-import {createLoop, waitAtMost, type Loop} from './loop.js';
-import {currentKey} from './store-keys.js';
+import type {ActiveVersion} from './active-version.js';
+import type {FollowerTimings} from './follower-options.js';
+import {getVersionNumber} from './follower-state.js';
+import type {LastContact} from './last-contact.js';
+import {createLoop, withTimeout, type Loop} from './loop.js';
+import {currentVersionKey} from './store-keys.js';
 
-/** What the watch loop needs. */
-export type WatchOptions = {
+/** Dependencies and options of the watch loop. */
+export type WatchLoopOptions = {
 	clock: Clock;
 	metrics: Metrics;
 	keyValue: Pick<KeyValueService, 'watch'>;
-	holder: Holder;
-	contact: Contact;
-	times: FollowerTimes;
-	/** Whether this host is one of the few that watch. */
+	activeVersion: ActiveVersion;
+	lastContact: LastContact;
+	timings: FollowerTimings;
+	/** Whether this host is one of the few that watch the key-value service. */
 	isWatcher: () => boolean;
 };
 
 /**
-Creates the loop that watches the service while this host is a watcher.
-A watch that ends without a change, though a version came into force meanwhile, has lost track; polls bring what it missed.
+Creates the loop that watches the key-value service while this host is a watcher.
+A watch that ends without a change although a version became active meanwhile has missed that change; it is counted, and polls fill the gap.
 */
-export const createWatchLoop = (options: WatchOptions): Loop => {
-	const {clock, metrics, keyValue, holder, contact, times, isWatcher} = options;
+export const createWatchLoop = (options: WatchLoopOptions): Loop => {
+	const {clock, metrics, keyValue, activeVersion, lastContact, timings, isWatcher} = options;
 
 	const watch = async (): Promise<Milliseconds> => {
-		const askedAt = clock.monotonic();
-		const before = getVersion(holder.getState());
-		const call = await waitAtMost(clock, keyValue.watch(currentKey, holder.getRevision(), times.watchLimit), times.watchLimit + times.watchMargin);
-		if (call.kind === 'silent') {
+		const requestedAt = clock.monotonic();
+		const previousVersion = getVersionNumber(activeVersion.getState());
+		const call = await withTimeout(clock, keyValue.watch(currentVersionKey, activeVersion.getLatestRevision(), timings.watchTimeout), timings.watchTimeout + timings.watchTimeoutMargin);
+		if (call.kind === 'timed-out') {
 			metrics.count('configuration_watch_silent');
 			return 0;
 		}
@@ -39,14 +39,14 @@
 		const outcome = call.value;
 		switch (outcome.kind) {
 			case 'changed': {
-				contact.note();
-				holder.offerEntry(outcome.entry, askedAt);
+				lastContact.record();
+				activeVersion.applyEntry(outcome.entry, requestedAt);
 				return 0;
 			}
 
 			case 'unchanged': {
-				contact.note();
-				if (getVersion(holder.getState()) > before) {
+				lastContact.record();
+				if (getVersionNumber(activeVersion.getState()) > previousVersion) {
 					metrics.count('configuration_watch_missed');
 				}
 
@@ -55,18 +55,18 @@
 
 			case 'unavailable': {
 				metrics.count('configuration_watch_unavailable');
-				return times.retryInterval;
+				return timings.retryInterval;
 			}
 		}
 	};
 
 	return createLoop(clock, async () => {
 		if (!isWatcher()) {
-			return times.watchLimit;
+			return timings.watchTimeout;
 		}
 
-		const begun = clock.monotonic();
+		const startedAt = clock.monotonic();
 		const delay = await watch();
-		return Math.max(delay, begun + times.watchSpacing - clock.monotonic());
+		return Math.max(delay, startedAt + timings.minWatchInterval - clock.monotonic());
 	});
 };
