--- a/packages/peers/src/compact.ts
+++ b/packages/peers/src/compact.ts
@@ -1,7 +1,7 @@
 /**
-Names of fields in messages between hosts that are sent as a number.
+Field names that are sent as numbers in messages between hosts.
 
-Both ends must have the same list, so names are only ever added at its end.
+A name's number is its index, and both ends must agree on it, so names may only be appended.
 */
 export const numberedNames = [
 	'host',
@@ -59,26 +59,30 @@
 	'stored',
 ] as const;
 
-const mark = '~';
+/** First character of an encoded field name. */
+const marker = '~';
 const radix = 36;
 
-const numbers = new Map<string, string>(numberedNames.map((name, index) => [name, `${mark}${index.toString(radix)}`]));
-const names = new Map<string, string>([...numbers].map(([name, number]) => [number, name]));
+const numberByName = new Map<string, string>(numberedNames.map((name, index) => [name, `${marker}${index.toString(radix)}`]));
+const nameByNumber = new Map<string, string>([...numberByName].map(([name, encoded]) => [encoded, name]));
 
-/** A marked name that isn't in the list is marked twice, so that it can't be taken for a number. */
-const getNumber = (name: string): string => numbers.get(name) ?? (name.startsWith(mark) ? `${mark}${mark}${name.slice(1)}` : name);
+/**
+Encodes a field name.
+A name that starts with the marker and isn't in the list gets a second marker, so that it isn't decoded as a number.
+*/
+const encodeName = (name: string): string => numberByName.get(name) ?? (name.startsWith(marker) ? `${marker}${marker}${name.slice(1)}` : name);
 
-const getName = (number: string): string => {
-	if (number.startsWith(`${mark}${mark}`)) {
-		return number.slice(1);
+const decodeName = (encoded: string): string => {
+	if (encoded.startsWith(`${marker}${marker}`)) {
+		return encoded.slice(1);
 	}
 
-	const name = names.get(number);
-	if (name === undefined && number.startsWith(mark)) {
-		throw new TypeError(`The field ${number} isn't known to this version.`);
+	const name = nameByNumber.get(encoded);
+	if (name === undefined && encoded.startsWith(marker)) {
+		throw new TypeError(`The field number ${encoded} is unknown to this version of the router.`);
 	}
 
-	return name ?? number;
+	return name ?? encoded;
 };
 
 const renameFields = (value: unknown, rename: (name: string) => string): unknown => {
@@ -94,8 +98,8 @@
 	return Object.fromEntries(fields.map(([name, field]) => [rename(name), renameFields(field, rename)]));
 };
 
-/** Codec of messages between hosts: plain data whose known field names are numbers. `deserialize` throws for a number that isn't known. */
+/** Codec of messages between hosts: it sends known field names as short numbers. `deserialize` throws a `TypeError` for an unknown number. */
 export const compactCodec = {
-	serialize: (value: unknown): unknown => renameFields(value, getNumber),
-	deserialize: (value: unknown): unknown => renameFields(value, getName),
+	serialize: (value: unknown): unknown => renameFields(value, encodeName),
+	deserialize: (value: unknown): unknown => renameFields(value, decodeName),
 };
--- a/packages/peers/src/credentials.ts
+++ b/packages/peers/src/credentials.ts
@@ -2,31 +2,31 @@
 import {createHmac, timingSafeEqual} from 'node:crypto';
 import type {HostId, Milliseconds} from '@gentianlift/types';
 
-/** What a host shows to another when it opens a connection. */
+/** Credentials that a host presents to another when it opens a connection. */
 export type Credentials = {
 	from: HostId;
 	to: HostId;
-	/** Moment at which they were made, in milliseconds since the epoch, as decimal text. */
+	/** Time of creation in milliseconds since the Unix epoch, as decimal text. */
 	at: string;
-	/** HMAC-SHA256 over the other fields, in hex. */
+	/** HMAC-SHA256 of the other fields, in hexadecimal. */
 	signature: string;
 };
 
-/** Longest age of credentials, which allows for clocks that differ. */
-const longestAge: Milliseconds = 60_000;
+/** Maximum difference between the time of creation and the receiver's clock, which allows for clock skew between hosts. */
+const maxAge: Milliseconds = 60_000;
 
-const getSignature = (key: string, from: HostId, to: HostId, at: string): string =>
+const computeSignature = (key: string, from: HostId, to: HostId, at: string): string =>
 	createHmac('sha256', key).update(JSON.stringify(['peer', from, to, at])).digest('hex');
 
-/** Creates credentials signed with the first key. */
+/** Creates credentials that are signed with the first of the keys. */
 export const createCredentials = (keys: readonly string[], from: HostId, to: HostId, now: Milliseconds): Credentials => {
 	const at = String(now);
 	return {
-		from, to, at, signature: getSignature(keys[0] ?? '', from, to, at),
+		from, to, at, signature: computeSignature(keys[0] ?? '', from, to, at),
 	};
 };
 
-/** Whether credentials are for this host, recent, and signed with one of the keys. */
+/** Whether credentials are intended for this host, recent, and signed with any of the keys, which allows for key rotation. */
 export const areValidCredentials = (keys: readonly string[], credentials: Partial<Credentials>, self: HostId, now: Milliseconds): credentials is Credentials => {
 	const {
 		from, to, at, signature,
@@ -35,13 +35,13 @@
 		return false;
 	}
 
-	if (!(Math.abs(now - Number(at)) <= longestAge)) {
+	if (!(Math.abs(now - Number(at)) <= maxAge)) {
 		return false;
 	}
 
-	const given = Buffer.from(signature);
+	const actual = Buffer.from(signature);
 	return keys.some(key => {
-		const expected = Buffer.from(getSignature(key, from, to, at));
-		return expected.length === given.length && timingSafeEqual(expected, given);
+		const expected = Buffer.from(computeSignature(key, from, to, at));
+		return expected.length === actual.length && timingSafeEqual(expected, actual);
 	});
 };
--- a/packages/peers/src/peer-calls.ts
+++ b/packages/peers/src/peer-calls.ts
@@ -4,146 +4,147 @@
 	Address, HostId, Milliseconds, PeerCalls, PeerOutcome,
 } from '@gentianlift/types';
 import {createCredentials} from './credentials.js';
-import {openPeerLink, type PeerLink} from './peer-link.js';
+import {openPeerConnection, type PeerConnection} from './peer-connection.js';
 
-/** Parts that calls to other hosts need. */
+/** Dependencies and options of `createPeerCalls`. */
 export type PeerCallsOptions = {
 	self: HostId;
 	keys: readonly string[];
-	/** Where another host listens; undefined if it isn't known. */
+	/** Returns the address at which another host listens; undefined if it is unknown. */
 	getAddress: (host: HostId) => Address | undefined;
 	clock: Clock;
 	metrics: Metrics;
-	/** Longest time that a call takes. */
+	/** Timeout of a call, and of the keep-alive of its connection. */
 	timeout: Milliseconds;
-	/** Time without a call after which a connection is closed, so that a large fleet keeps few open. */
-	idleLimit?: Milliseconds;
+	/** Time without a call after which a connection is closed, so that hosts of a large fleet keep few connections open. */
+	idleTimeout?: Milliseconds;
 };
 
-/** Calls to other hosts, over connections that are opened when first used. */
+/** Calls to other hosts over connections that are opened on demand. */
 export type PeerConnections = PeerCalls & {
-	/** Closes the connections to hosts that are not in the list. */
+	/** Closes the connections to all hosts that are not listed. */
 	retain: (hosts: readonly HostId[]) => void;
 	close: () => void;
 };
 
-/** Time before a host that couldn't be reached is tried again. */
+/** Delay after a lost connection to a host before another one is opened. */
 const retryDelay: Milliseconds = 250;
-const defaultIdleLimit: Milliseconds = 30_000;
+const defaultIdleTimeout: Milliseconds = 30_000;
 
-type Call<Answer> = (link: PeerLink, signal: AbortSignal) => Promise<Answer>;
+type Invocation<Answer> = (connection: PeerConnection, signal: AbortSignal) => Promise<Answer>;
 
 /** Creates the calls to other hosts. */
-export const createPeerCalls = ({self, keys, getAddress, clock, metrics, timeout, idleLimit = defaultIdleLimit}: PeerCallsOptions): PeerConnections => {
+export const createPeerCalls = ({self, keys, getAddress, clock, metrics, timeout, idleTimeout = defaultIdleTimeout}: PeerCallsOptions): PeerConnections => {
 	const {every} = clock;
-	const links = new Map<HostId, PeerLink>();
-	const usedAt = new Map<HostId, Milliseconds>();
-	const failedAt = new Map<HostId, Milliseconds>();
-
-	const drop = (link: PeerLink): void => {
-		if (links.get(link.to) === link) {
-			links.delete(link.to);
-			failedAt.set(link.to, clock.monotonic());
+	const connections = new Map<HostId, PeerConnection>();
+	const lastUsedAt = new Map<HostId, Milliseconds>();
+	const lastFailedAt = new Map<HostId, Milliseconds>();
+
+	const removeLostConnection = (connection: PeerConnection): void => {
+		if (connections.get(connection.to) === connection) {
+			connections.delete(connection.to);
+			lastFailedAt.set(connection.to, clock.monotonic());
 		}
 	};
 
-	const open = (to: HostId, address: Address): PeerLink => {
-		const link = openPeerLink({
-			to, address, silence: timeout, getCredentials: () => createCredentials(keys, self, to, clock.now()),
+	const openConnection = (to: HostId, address: Address): PeerConnection => {
+		const connection = openPeerConnection({
+			to, address, silenceTimeout: timeout, getCredentials: () => createCredentials(keys, self, to, clock.now()),
 		});
-		links.set(to, link);
-		link.lost.addEventListener('abort', () => {
-			drop(link);
+		connections.set(to, connection);
+		connection.lost.addEventListener('abort', () => {
+			removeLostConnection(connection);
 		}, {once: true});
-		return link;
+		return connection;
 	};
 
-	const countLinks = (): void => {
-		metrics.setGauge('peer_connections', links.size);
+	const updateConnectionGauge = (): void => {
+		metrics.setGauge('peer_connections', connections.size);
 	};
 
-	const closeIdle = (): void => {
-		for (const link of links.values()) {
-			if (clock.monotonic() - (usedAt.get(link.to) ?? 0) > idleLimit) {
-				// It is taken out first, so that its end doesn't count as a failure of the host.
-				links.delete(link.to);
-				usedAt.delete(link.to);
-				link.close();
+	const closeIdleConnections = (): void => {
+		for (const connection of connections.values()) {
+			if (clock.monotonic() - (lastUsedAt.get(connection.to) ?? 0) > idleTimeout) {
+				// The connection is removed before it is closed, so that closing it isn't recorded as a failure of the host.
+				connections.delete(connection.to);
+				lastUsedAt.delete(connection.to);
+				connection.close();
 			}
 		}
 
-		countLinks();
+		updateConnectionGauge();
 	};
 
-	const cancelIdle = every(idleLimit, closeIdle);
+	const cancelIdleCheck = every(idleTimeout, closeIdleConnections);
 
-	const getLink = (to: HostId): PeerLink | undefined => {
+	const getConnection = (to: HostId): PeerConnection | undefined => {
 		const address = getAddress(to);
-		const link = links.get(to);
-		if (link !== undefined && (address === undefined || address === link.address)) {
-			return link;
+		const connection = connections.get(to);
+		if (connection !== undefined && (address === undefined || address === connection.address)) {
+			return connection;
 		}
 
-		link?.close();
-		const isResting = clock.monotonic() - (failedAt.get(to) ?? Number.NEGATIVE_INFINITY) < retryDelay;
-		return address === undefined || isResting ? undefined : open(to, address);
+		connection?.close();
+		const isBackingOff = clock.monotonic() - (lastFailedAt.get(to) ?? Number.NEGATIVE_INFINITY) < retryDelay;
+		return address === undefined || isBackingOff ? undefined : openConnection(to, address);
 	};
 
-	const getFailure = <Answer>(link: PeerLink, name: string, reason: string): PeerOutcome<Answer> => {
-		const kind = link.wasOpen() ? 'unknown' : 'unreachable';
-		metrics.count('peer_call_failures_total', {call: name, kind});
+	/** Counts a failed call. Its outcome is unknown if the connection was open, since the other host may have executed the call. */
+	const recordFailure = <Answer>(connection: PeerConnection, procedure: string, reason: string): PeerOutcome<Answer> => {
+		const kind = connection.hasOpened() ? 'unknown' : 'unreachable';
+		metrics.count('peer_call_failures_total', {call: procedure, kind});
 		return {kind, reason};
 	};
 
-	const call = async <Answer>(name: string, to: HostId, run: Call<Answer>): Promise<PeerOutcome<Answer>> => {
-		const link = getLink(to);
-		if (link === undefined) {
-			metrics.count('peer_call_failures_total', {call: name, kind: 'unreachable'});
+	const callPeer = async <Answer>(procedure: string, to: HostId, invoke: Invocation<Answer>): Promise<PeerOutcome<Answer>> => {
+		const connection = getConnection(to);
+		if (connection === undefined) {
+			metrics.count('peer_call_failures_total', {call: procedure, kind: 'unreachable'});
 			return {kind: 'unreachable', reason: 'no connection'};
 		}
 
-		metrics.count('peer_calls_total', {call: name});
-		usedAt.set(to, clock.monotonic());
-		countLinks();
-		const deadline = new AbortController();
-		const cancel = clock.after(timeout, () => {
-			deadline.abort();
+		metrics.count('peer_calls_total', {call: procedure});
+		lastUsedAt.set(to, clock.monotonic());
+		updateConnectionGauge();
+		const timeoutController = new AbortController();
+		const cancelTimeout = clock.after(timeout, () => {
+			timeoutController.abort();
 		});
 		try {
-			const answer = await run(link, AbortSignal.any([link.lost, deadline.signal]));
+			const answer = await invoke(connection, AbortSignal.any([connection.lost, timeoutController.signal]));
 			return {kind: 'answered', answer};
 		} catch (error) {
-			if (deadline.signal.aborted && !link.wasOpen()) {
-				link.close();
+			if (timeoutController.signal.aborted && !connection.hasOpened()) {
+				connection.close();
 			}
 
-			return getFailure(link, name, error instanceof Error ? error.message : 'failed');
+			return recordFailure(connection, procedure, error instanceof Error ? error.message : 'failed');
 		} finally {
-			cancel();
+			cancelTimeout();
 		}
 	};
 
 	return {
-		exchangeGrants: async (to, message) => call('exchangeGrants', to, async ({client}, signal) => client.exchangeGrants.mutate(message, {signal})),
-		pushGrants: async (to, message) => call('pushGrants', to, async ({client}, signal) => client.pushGrants.mutate(message, {signal})),
-		exchangeQuota: async (to, message) => call('exchangeQuota', to, async ({client}, signal) => client.exchangeQuota.mutate(message, {signal})),
-		claim: async (to, message) => call('claim', to, async ({client}, signal) => client.claim.mutate(message, {signal})),
-		settleClaim: async (to, message) => call('settleClaim', to, async ({client}, signal) => client.settleClaim.mutate(message, {signal})),
-		readConfiguration: async (to, message) => call('readConfiguration', to, async ({client}, signal) => client.readConfiguration.mutate(message, {signal})),
-		readPlacementFacts: async (to, message) => call('readPlacementFacts', to, async ({client}, signal) => client.readPlacementFacts.mutate(message, {signal})),
-		readAccount: async (to, message) => call('readAccount', to, async ({client}, signal) => client.readAccount.mutate(message, {signal})),
+		exchangeGrants: async (to, message) => callPeer('exchangeGrants', to, async ({client}, signal) => client.exchangeGrants.mutate(message, {signal})),
+		pushGrants: async (to, message) => callPeer('pushGrants', to, async ({client}, signal) => client.pushGrants.mutate(message, {signal})),
+		exchangeQuota: async (to, message) => callPeer('exchangeQuota', to, async ({client}, signal) => client.exchangeQuota.mutate(message, {signal})),
+		claim: async (to, message) => callPeer('claim', to, async ({client}, signal) => client.claim.mutate(message, {signal})),
+		settleClaim: async (to, message) => callPeer('settleClaim', to, async ({client}, signal) => client.settleClaim.mutate(message, {signal})),
+		readConfiguration: async (to, message) => callPeer('readConfiguration', to, async ({client}, signal) => client.readConfiguration.mutate(message, {signal})),
+		readPlacementFacts: async (to, message) => callPeer('readPlacementFacts', to, async ({client}, signal) => client.readPlacementFacts.mutate(message, {signal})),
+		readAccount: async (to, message) => callPeer('readAccount', to, async ({client}, signal) => client.readAccount.mutate(message, {signal})),
 		retain(hosts) {
-			const kept = new Set(hosts);
-			for (const link of links.values()) {
-				if (!kept.has(link.to)) {
-					link.close();
+			const retained = new Set(hosts);
+			for (const connection of connections.values()) {
+				if (!retained.has(connection.to)) {
+					connection.close();
 				}
 			}
 		},
 		close() {
-			cancelIdle();
-			for (const link of links.values()) {
-				link.close();
+			cancelIdleCheck();
+			for (const connection of connections.values()) {
+				connection.close();
 			}
 		},
 	};
--- a/packages/peers/src/peer-server.ts
+++ b/packages/peers/src/peer-server.ts
@@ -7,7 +7,7 @@
 import {areValidCredentials} from './credentials.js';
 import {createPeerRouter, type PeerContext} from './peer-router.js';
 
-/** Parts that the listener for other hosts needs. */
+/** Dependencies and options of the peer server. */
 export type PeerServerOptions = {
 	self: HostId;
 	address: Address;
@@ -17,18 +17,18 @@
 	metrics: Metrics;
 };
 
-/** The listener for other hosts. */
+/** Server that answers the calls of other hosts. */
 export type PeerServer = {
 	close: () => Promise<void>;
 };
 
-/** Largest message between hosts: a configuration is up to a megabyte. */
-const longestMessageBytes = 4 * 1024 * 1024;
+/** Maximum size of a message between hosts; a configuration can take up to 1 MB. */
+const maxMessageBytes = 4 * 1024 * 1024;
 
-/** Starts to listen for other hosts; rejects if the address can't be used. */
+/** Starts the peer server. Rejects if it can't listen on the address. */
 export const startPeerServer = async ({self, address, keys, handlers, clock, metrics}: PeerServerOptions): Promise<PeerServer> => {
 	const {hostname, port} = new URL(`ws://${address}`);
-	const server = new WebSocketServer({host: hostname, port: Number(port), maxPayload: longestMessageBytes});
+	const server = new WebSocketServer({host: hostname, port: Number(port), maxPayload: maxMessageBytes});
 
 	const createContext = ({info}: {info: {connectionParams: unknown}}): PeerContext => {
 		const credentials = info.connectionParams ?? {};
--- a/packages/peers/src/peers.test.ts
+++ b/packages/peers/src/peers.test.ts
@@ -9,16 +9,16 @@
 const clock = createSystemClock();
 const address: Address = '127.0.0.1:24811';
 
-const unused = async (): Promise<never> => {
+const rejectUnused = async (): Promise<never> => {
 	throw new Error('not used');
 };
 
 const handlers: PeerHandlers = {
-	exchangeGrants: unused,
+	exchangeGrants: rejectUnused,
 	pushGrants: async () => ({received: true}),
-	exchangeQuota: unused,
-	claim: unused,
-	settleClaim: unused,
+	exchangeQuota: rejectUnused,
+	claim: rejectUnused,
+	settleClaim: rejectUnused,
 	readConfiguration: async from => ({
 		newest: {
 			version: 3, token: from, author: '', acceptedAt: 0, note: '', configuration: {
@@ -28,15 +28,15 @@
 			},
 		},
 	}),
-	readAccount: unused,
-	readPlacementFacts: unused,
+	readAccount: rejectUnused,
+	readPlacementFacts: rejectUnused,
 };
 
 const createCalls = (keys: string[], to: Address = address) => createPeerCalls({
 	self: 'a', keys, getAddress: () => to, clock, metrics: createMetrics(), timeout: 2000,
 });
 
-test('carries a call between hosts and names the caller', async () => {
+test('passes a call and the authenticated caller to the handler', async () => {
 	const server = await startPeerServer({
 		self: 'b', address, keys: ['old', 'new'], handlers, clock, metrics: createMetrics(),
 	});
@@ -49,7 +49,7 @@
 	await server.close();
 });
 
-test('drops and counts a stranger', async () => {
+test('rejects and counts a caller with a wrong key', async () => {
 	const metrics = createMetrics();
 	const server = await startPeerServer({
 		self: 'b', address, keys: ['right'], handlers, clock, metrics,
@@ -62,19 +62,19 @@
 	await server.close();
 });
 
-test('tells a host that never answered from one that was lost', async () => {
+test('reports a host without a listener as unreachable', async () => {
 	const calls = createCalls(['k'], '127.0.0.1:24812');
 	expect(await calls.pushGrants('b', {owner: true, group: 'g', decisions: []})).toMatchObject({kind: 'unreachable'});
 	calls.close();
 });
 
-test('closes a connection without calls and opens it again', async () => {
+test('closes an idle connection and reopens it on the next call', async () => {
 	const server = await startPeerServer({
 		self: 'b', address, keys: ['k'], handlers, clock, metrics: createMetrics(),
 	});
 	const metrics = createMetrics();
 	const calls = createPeerCalls({
-		self: 'a', keys: ['k'], getAddress: () => address, clock, metrics, timeout: 2000, idleLimit: 30,
+		self: 'a', keys: ['k'], getAddress: () => address, clock, metrics, timeout: 2000, idleTimeout: 30,
 	});
 	expect(await calls.readConfiguration('b', {after: 0})).toMatchObject({kind: 'answered'});
 	expect(metrics.getValue('peer_connections')).toBe(1);
@@ -84,7 +84,7 @@
 	await server.close();
 });
 
-test('refuses credentials for another host, old ones and forged ones', () => {
+test('rejects credentials that are for another host, expired or forged', () => {
 	const credentials = createCredentials(['k'], 'a', 'b', 1_000_000);
 	expect(areValidCredentials(['k'], credentials, 'b', 1_000_000)).toBe(true);
 	expect(areValidCredentials(['k'], credentials, 'c', 1_000_000)).toBe(false);
