--- a/packages/config/src/check-inventory.ts
+++ b/packages/config/src/check-inventory.ts
@@ -1,48 +1,48 @@
 import type {Configuration, Engine} from '@gentianlift/types';
 import {createDiagnostic, type Diagnostic, type Path} from './diagnostic.js';
-import {getRepeats, type Place} from './repeats.js';
+import {findDuplicates, type Occurrence} from './duplicates.js';
 
 const getNames = (items: Array<{name: string}>): Set<string> => new Set(items.map(({name}) => name));
 
-const getNamePlaces = (items: Array<{name: string}>, path: Path): Place[] =>
+const getNameOccurrences = (items: Array<{name: string}>, path: Path): Occurrence[] =>
 	items.map(({name}, index) => ({path: [...path, index, 'name'], value: name}));
 
-/** Gets a fault for each listed name that is not among the known ones. */
-export const getUnknown = (names: string[], path: Path, known: Set<string>, expected: string): Diagnostic[] =>
-	names.flatMap((name, index) => known.has(name) ? [] : [createDiagnostic([...path, index], name, expected)]);
+/** Returns a diagnostic for each listed name that isn't a known one; `expected` describes the known names. */
+export const findUnknownNames = (names: string[], path: Path, knownNames: Set<string>, expected: string): Diagnostic[] =>
+	names.flatMap((name, index) => knownNames.has(name) ? [] : [createDiagnostic([...path, index], name, expected)]);
 
-const getInstances = ({inventory}: Configuration): Array<{path: Path; id: string; address: string}> =>
-	inventory.services.flatMap(({instances}, service) => instances.map(({id, address}, index) => ({
-		path: ['inventory', 'services', service, 'instances', index], id, address,
+const getInstanceAddresses = ({inventory}: Configuration): Array<{path: Path; id: string; address: string}> =>
+	inventory.services.flatMap(({instances}, serviceIndex) => instances.map(({id, address}, index) => ({
+		path: ['inventory', 'services', serviceIndex, 'instances', index], id, address,
 	})));
 
-const getUpstreams = (configuration: Configuration): Array<{path: Path; id: string; address: string}> => [
+const getUpstreamAddresses = (configuration: Configuration): Array<{path: Path; id: string; address: string}> => [
 	...configuration.inventory.engines.map(({id, address}, index) => ({path: ['inventory', 'engines', index], id, address})),
-	...getInstances(configuration),
+	...getInstanceAddresses(configuration),
 ];
 
-/** Checks that upstreams have names and addresses of their own. */
-export const checkUpstreams = (configuration: Configuration): Diagnostic[] => {
-	const upstreams = getUpstreams(configuration);
+/** Checks that the names and addresses of all upstreams are unique. */
+export const checkUniqueUpstreams = (configuration: Configuration): Diagnostic[] => {
+	const upstreams = getUpstreamAddresses(configuration);
 	const names = upstreams.map(({path, id}) => ({path: [...path, 'id'], value: id}));
 	const addresses = upstreams.map(({path, address}) => ({path: [...path, 'address'], value: address.toLowerCase()}));
 	return [
-		...getRepeats(names, 'a name that no other upstream has'),
-		...getRepeats(addresses, 'an address that no other upstream has'),
+		...findDuplicates(names, 'a name that no other upstream has'),
+		...findDuplicates(addresses, 'an address that no other upstream has'),
 	];
 };
 
-/** Checks that models, adapters and services have names of their own. */
-export const checkNames = ({inventory}: Configuration): Diagnostic[] => [
-	...getRepeats([
-		...getNamePlaces(inventory.models, ['inventory', 'models']),
-		...getNamePlaces(inventory.adapters, ['inventory', 'adapters']),
+/** Checks that names are unique among models and adapters together, and among services. */
+export const checkUniqueNames = ({inventory}: Configuration): Diagnostic[] => [
+	...findDuplicates([
+		...getNameOccurrences(inventory.models, ['inventory', 'models']),
+		...getNameOccurrences(inventory.adapters, ['inventory', 'adapters']),
 	], 'a name that no other model or adapter has'),
-	...getRepeats(getNamePlaces(inventory.services, ['inventory', 'services']), 'a name that no other service has'),
+	...findDuplicates(getNameOccurrences(inventory.services, ['inventory', 'services']), 'a name that no other service has'),
 ];
 
-/** Checks that each adapter's model exists. */
-export const checkAdapters = ({inventory}: Configuration): Diagnostic[] => {
+/** Checks that the base model of each adapter exists. */
+export const checkAdapterModels = ({inventory}: Configuration): Diagnostic[] => {
 	const models = getNames(inventory.models);
 	return inventory.adapters.flatMap(({model}, index) => models.has(model)
 		? []
@@ -53,45 +53,45 @@
 	const models = new Map(inventory.adapters.map(({name, model}) => [name, model]));
 	return engine.adapters.flatMap((name, index) => {
 		const model = models.get(name);
-		const place = [...path, 'adapters', index];
+		const elementPath = [...path, 'adapters', index];
 		if (model === undefined) {
-			return [createDiagnostic(place, name, 'the name of an adapter')];
+			return [createDiagnostic(elementPath, name, 'the name of an adapter')];
 		}
 
-		return engine.models.includes(model) ? [] : [createDiagnostic(place, name, `an adapter of a model of this engine, not of ${model}`)];
+		return engine.models.includes(model) ? [] : [createDiagnostic(elementPath, name, `an adapter of a model of this engine, not of ${model}`)];
 	});
 };
 
-/** Checks that each engine's models and adapters exist and go together. */
-export const checkEngines = (configuration: Configuration): Diagnostic[] => {
+/** Checks that each engine's models and adapters exist, and that the engine lists the base model of each of its adapters. */
+export const checkEngineModels = (configuration: Configuration): Diagnostic[] => {
 	const models = getNames(configuration.inventory.models);
 	return configuration.inventory.engines.flatMap((engine, index) => {
 		const path = ['inventory', 'engines', index];
 		return [
-			...getUnknown(engine.models, [...path, 'models'], models, 'the name of a model'),
+			...findUnknownNames(engine.models, [...path, 'models'], models, 'the name of a model'),
 			...checkEngineAdapters(configuration, engine, path),
 		];
 	});
 };
 
-/** Checks that customers have names and keys of their own. */
-export const checkCustomers = ({inventory}: Configuration): Diagnostic[] => {
+/** Checks that the names and the key digests of all customers are unique. */
+export const checkUniqueCustomers = ({inventory}: Configuration): Diagnostic[] => {
 	const path = ['inventory', 'customers'];
 	const names = inventory.customers.map(({id}, index) => ({path: [...path, index, 'id'], value: id}));
 	const keys = inventory.customers.flatMap(({keyDigests}, index) =>
-		keyDigests.map((value, key) => ({path: [...path, index, 'keyDigests', key], value})));
+		keyDigests.map((value, keyIndex) => ({path: [...path, index, 'keyDigests', keyIndex], value})));
 	return [
-		...getRepeats(names, 'a name that no other customer has'),
-		...getRepeats(keys, 'a digest that stands nowhere else'),
+		...findDuplicates(names, 'a name that no other customer has'),
+		...findDuplicates(keys, 'a digest that stands nowhere else'),
 	];
 };
 
-/** Checks that each customer's classes exist and are listed once. */
+/** Checks that each customer's classes exist and are listed only once. */
 export const checkCustomerClasses = ({inventory, rules}: Configuration): Diagnostic[] => {
-	const known = getNames(rules.classes);
+	const knownNames = getNames(rules.classes);
 	return inventory.customers.flatMap(({classes}, index) => {
 		const path = ['inventory', 'customers', index, 'classes'];
-		const places = classes.map((value, place) => ({path: [...path, place], value}));
-		return [...getUnknown(classes, path, known, 'the name of a class'), ...getRepeats(places, 'each class once')];
+		const occurrences = classes.map((value, classIndex) => ({path: [...path, classIndex], value}));
+		return [...findUnknownNames(classes, path, knownNames, 'the name of a class'), ...findDuplicates(occurrences, 'each class once')];
 	});
 };
--- a/packages/config/src/check-rules.ts
+++ b/packages/config/src/check-rules.ts
@@ -1,24 +1,24 @@
 import type {Configuration, RequestClass} from '@gentianlift/types';
+import {findUnknownNames} from './check-inventory.js';
 import {createDiagnostic, type Diagnostic, type Path} from './diagnostic.js';
-import {getUnknown} from './check-inventory.js';
-import {getRepeats} from './repeats.js';
+import {findDuplicates} from './duplicates.js';
 
 const getNames = (items: Array<{name: string}>): Set<string> => new Set(items.map(({name}) => name));
 
-/** Checks that classes have names of their own and tiers that exist. */
+/** Checks that the names of classes are unique and that each class's tier exists. */
 export const checkClasses = ({rules}: Configuration): Diagnostic[] => {
 	const tiers = getNames(rules.tiers);
-	const places = rules.classes.map(({name}, index) => ({path: ['rules', 'classes', index, 'name'], value: name}));
-	const dangling = rules.classes.flatMap(({tier}, index) => tiers.has(tier)
+	const occurrences = rules.classes.map(({name}, index) => ({path: ['rules', 'classes', index, 'name'], value: name}));
+	const unknownTiers = rules.classes.flatMap(({tier}, index) => tiers.has(tier)
 		? []
 		: [createDiagnostic(['rules', 'classes', index, 'tier'], tier, 'the name of a tier')]);
-	return [...getRepeats(places, 'a name that no other class has'), ...dangling];
+	return [...findDuplicates(occurrences, 'a name that no other class has'), ...unknownTiers];
 };
 
 const minutesPerHour = 60;
 const minutesPerDay = 24 * minutesPerHour;
 
-const getMinutes = (time: string): number => {
+const parseMinutes = (time: string): number => {
 	const [hours = 0, minutes = 0] = time.split(':').map(Number);
 	return (hours * minutesPerHour) + minutes;
 };
@@ -29,43 +29,43 @@
 };
 
 const checkClassHours = ({hours}: RequestClass, path: Path): Diagnostic[] => {
-	const faults: Diagnostic[] = [];
-	const spans = hours.map(({from, to}, index) => ({from: getMinutes(from), to: getMinutes(to), index}));
-	let covered = 0;
-	for (const {from, to, index} of spans.toSorted((a, b) => a.from - b.from)) {
+	const diagnostics: Diagnostic[] = [];
+	const intervals = hours.map(({from, to}, index) => ({from: parseMinutes(from), to: parseMinutes(to), index}));
+	let coveredUntil = 0;
+	for (const {from, to, index} of intervals.toSorted((a, b) => a.from - b.from)) {
 		const {from: start, to: end} = hours[index] ?? {};
 		const found = `${start} to ${end}`;
 		if (to <= from) {
-			faults.push(createDiagnostic([...path, index], found, 'an end after the start; split hours that pass midnight in two'));
+			diagnostics.push(createDiagnostic([...path, index], found, 'an end after the start; split hours that pass midnight in two'));
 			continue;
 		}
 
-		if (from < covered) {
-			faults.push(createDiagnostic([...path, index], found, `hours that don't overlap; those before it last until ${formatMinutes(covered)}`));
+		if (from < coveredUntil) {
+			diagnostics.push(createDiagnostic([...path, index], found, `hours that don't overlap; those before it last until ${formatMinutes(coveredUntil)}`));
 		}
 
-		if (from > covered) {
-			faults.push(createDiagnostic(path, `no hours from ${formatMinutes(covered)} to ${formatMinutes(from)}`, 'hours from 00:00 to 24:00 without a hole'));
+		if (from > coveredUntil) {
+			diagnostics.push(createDiagnostic(path, `no hours from ${formatMinutes(coveredUntil)} to ${formatMinutes(from)}`, 'hours from 00:00 to 24:00 without a hole'));
 		}
 
-		covered = Math.max(covered, to);
+		coveredUntil = Math.max(coveredUntil, to);
 	}
 
-	if (covered < minutesPerDay) {
-		faults.push(createDiagnostic(path, `no hours from ${formatMinutes(covered)} to 24:00`, 'hours from 00:00 to 24:00 without a hole'));
+	if (coveredUntil < minutesPerDay) {
+		diagnostics.push(createDiagnostic(path, `no hours from ${formatMinutes(coveredUntil)} to 24:00`, 'hours from 00:00 to 24:00 without a hole'));
 	}
 
-	return faults;
+	return diagnostics;
 };
 
-/** Checks that each class's hours cover the day once. */
+/** Checks that the hours of each class cover the whole day without gaps or overlaps. */
 export const checkHours = ({rules}: Configuration): Diagnostic[] =>
 	rules.classes.flatMap((requestClass, index) => checkClassHours(requestClass, ['rules', 'classes', index, 'hours']));
 
-/** Checks that each class's targets say something that can be met. */
+/** Checks that the targets of each class set a time to the first token or to the whole response, and don't contradict each other. */
 export const checkTargets = ({rules}: Configuration): Diagnostic[] => rules.classes.flatMap(({hours}, index) =>
-	hours.flatMap(({targets}, place) => {
-		const path = ['rules', 'classes', index, 'hours', place, 'targets'];
+	hours.flatMap(({targets}, hoursIndex) => {
+		const path = ['rules', 'classes', index, 'hours', hoursIndex, 'targets'];
 		if (targets.firstToken === undefined && targets.whole === undefined) {
 			return [createDiagnostic(path, targets, 'a target for firstToken or whole')];
 		}
@@ -89,8 +89,8 @@
 		return [createDiagnostic(path, match, 'either models, or service, method and pathPrefix; both never match at once')];
 	}
 
-	const known = new Set([...getNames(inventory.models), ...getNames(inventory.adapters)]);
-	return getUnknown(models, [...path, 'models'], known, 'the name of a model or an adapter');
+	const knownNames = new Set([...getNames(inventory.models), ...getNames(inventory.adapters)]);
+	return findUnknownNames(models, [...path, 'models'], knownNames, 'the name of a model or an adapter');
 };
 
 const checkServiceMatch = ({inventory}: Configuration, {match}: RequestClass, path: Path): Diagnostic[] => {
@@ -101,21 +101,22 @@
 	return [createDiagnostic([...path, 'service'], match.service, 'the name of a service')];
 };
 
-const checkHeldModels = ({inventory}: Configuration, {match}: RequestClass, path: Path): Diagnostic[] => {
-	const held = new Set(inventory.engines.flatMap(({models, adapters}) => [...models, ...adapters]));
+/** Checks that at least one of the models that a class matches can be loaded by some engine. */
+const checkLoadableModels = ({inventory}: Configuration, {match}: RequestClass, path: Path): Diagnostic[] => {
+	const loadable = new Set(inventory.engines.flatMap(({models, adapters}) => [...models, ...adapters]));
 	const models = match.models ?? [];
-	return models.length > 0 && models.every(name => !held.has(name))
+	return models.length > 0 && models.every(name => !loadable.has(name))
 		? [createDiagnostic([...path, 'models'], models, 'a model that some engine may hold')]
 		: [];
 };
 
-/** Checks that each class's rule names what exists and can match a request. */
+/** Checks that the match rule of each class refers to existing names and can match a request. */
 export const checkMatches = (configuration: Configuration): Diagnostic[] =>
 	configuration.rules.classes.flatMap((requestClass, index) => {
 		const path = ['rules', 'classes', index, 'match'];
-		const faults = [
+		const diagnostics = [
 			...checkModelMatch(configuration, requestClass, path),
 			...checkServiceMatch(configuration, requestClass, path),
 		];
-		return faults.length === 0 ? checkHeldModels(configuration, requestClass, path) : faults;
+		return diagnostics.length === 0 ? checkLoadableModels(configuration, requestClass, path) : diagnostics;
 	});
--- a/packages/config/src/diagnostic.ts
+++ b/packages/config/src/diagnostic.ts
@@ -1,49 +1,50 @@
-/** One fault of a document. */
+/** A validation error in a document. */
 export type Diagnostic = {
-	/** JSON path of the fault, such as `$.rules.classes[2].hours`. */
+	/** JSON path of the invalid value, such as `$.rules.classes[2].hours`. */
 	path: string;
-	/** What stands there, shortened; `nothing` if the field is missing. */
+	/** The value at the path as JSON, truncated; `nothing` if the field is missing. */
 	found: string;
-	/** What should stand there. */
+	/** Description of the valid values. */
 	expected: string;
 };
 
-/** Outcome of a parse: the value, or every fault of the document. */
+/** Result of parsing a document: the value, or all validation errors of the document. */
 export type Parsed<Value>
 	= | {kind: 'valid'; value: Value}
 		| {kind: 'invalid'; faults: Diagnostic[]};
 
-/** Steps from the root of a document to a place in it. */
+/** Field names and list indexes that lead from the root of a document to a value in it. */
 export type Path = ReadonlyArray<string | number>;
 
-const longestFound = 60;
-const plainName = /^[A-Za-z_]\w*$/v;
+/** Number of characters after which a value in a diagnostic is truncated. */
+const maxFoundLength = 60;
+const identifierPattern = /^[A-Za-z_]\w*$/v;
 
-const formatStep = (step: string | number): string => {
-	if (typeof step === 'number') {
-		return `[${step}]`;
+const formatSegment = (segment: string | number): string => {
+	if (typeof segment === 'number') {
+		return `[${segment}]`;
 	}
 
-	return plainName.test(step) ? `.${step}` : `[${JSON.stringify(step)}]`;
+	return identifierPattern.test(segment) ? `.${segment}` : `[${JSON.stringify(segment)}]`;
 };
 
-/** Formats a path as a JSON path. */
-export const formatPath = (path: Path): string => `$${path.map(step => formatStep(step)).join('')}`;
+/** Formats a path as JSON path text. */
+export const formatPath = (path: Path): string => `$${path.map(segment => formatSegment(segment)).join('')}`;
 
-/** Formats a value of a document for a diagnostic, shortened. */
+/** Formats a value of a document for a diagnostic, truncated. */
 export const formatFound = (value: unknown): string => {
 	if (value === undefined) {
 		return 'nothing';
 	}
 
 	const text = JSON.stringify(value);
-	return text.length > longestFound ? `${text.slice(0, longestFound)}...` : text;
+	return text.length > maxFoundLength ? `${text.slice(0, maxFoundLength)}...` : text;
 };
 
-/** Creates a diagnostic of a value that stands at a path. */
+/** Creates a diagnostic for the value at a path. */
 export const createDiagnostic = (path: Path, found: unknown, expected: string): Diagnostic =>
 	({path: formatPath(path), found: formatFound(found), expected});
 
-/** Formats a diagnostic as one line. */
+/** Formats a diagnostic as a single line. */
 export const formatDiagnostic = ({path, found, expected}: Diagnostic): string =>
 	`${path}: found ${found}, expected ${expected}`;
--- a/packages/config/src/difference.test.ts
+++ b/packages/config/src/difference.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {formatChange, getDifference} from './index.js';
 
-test('tells changed, added and removed items by name', () => {
+test('reports changed, added and removed items by name', () => {
 	const before = {engines: [{id: 'a', slots: 1}, {id: 'b', slots: 1}], hours: ['x']};
 	const after = {engines: [{id: 'c', slots: 1}, {id: 'b', slots: 2}], hours: ['x']};
 	expect(getDifference(before, after).map(change => formatChange(change))).toEqual([
@@ -11,7 +11,7 @@
 	]);
 });
 
-test('takes another order of named items as no change', () => {
+test('ignores the order of list items that have names', () => {
 	expect(getDifference([{name: 'a'}, {name: 'b'}], [{name: 'b'}, {name: 'a'}])).toEqual([]);
 	expect(getDifference(['a', 'b'], ['b', 'a'])).toHaveLength(1);
 });
--- a/packages/config/src/difference.ts
+++ b/packages/config/src/difference.ts
@@ -1,8 +1,8 @@
 import {formatFound, formatPath, type Path} from './diagnostic.js';
 
-/** One place at which two documents differ; an absent value is undefined. */
+/** A difference between two documents; a missing value is undefined. */
 export type Change = {
-	/** JSON path; items of lists that have names are told by their name. */
+	/** JSON path of the value; list items that have names are identified by their name instead of their index. */
 	path: string;
 	before: unknown;
 	after: unknown;
@@ -17,37 +17,41 @@
 	return typeof name === 'string' ? name : undefined;
 };
 
-const getNamed = (list: unknown[]): Fields | undefined => {
+/** Returns the items of a list by their name; undefined unless all items have distinct names. */
+const indexByName = (list: unknown[]): Fields | undefined => {
 	const entries = list.map(item => [getName(item), item] as const);
 	const isNamed = entries.every(([name]) => name !== undefined) && new Set(entries.map(([name]) => name)).size === list.length;
 	return isNamed ? Object.fromEntries(entries) as Fields : undefined;
 };
 
-/** Gets the parts of both values under the same names, so that a moved item is no change. */
-const getParts = (before: unknown, after: unknown): [Fields, Fields] | undefined => {
+/**
+Returns the fields of two objects, or the items of two lists by their names so that a reordered item isn't a change.
+Undefined if the values can't be compared in this way.
+*/
+const getComparableParts = (before: unknown, after: unknown): [Fields, Fields] | undefined => {
 	if (Array.isArray(before) && Array.isArray(after)) {
-		const named = [getNamed(before), getNamed(after)] as const;
-		return named[0] === undefined || named[1] === undefined ? undefined : [named[0], named[1]];
+		const indexed = [indexByName(before), indexByName(after)] as const;
+		return indexed[0] === undefined || indexed[1] === undefined ? undefined : [indexed[0], indexed[1]];
 	}
 
 	return isObject(before) && isObject(after) && !Array.isArray(before) && !Array.isArray(after) ? [before, after] : undefined;
 };
 
 const getChanges = (before: unknown, after: unknown, path: Path): Change[] => {
-	const parts = getParts(before, after);
+	const parts = getComparableParts(before, after);
 	if (parts === undefined) {
 		return JSON.stringify(before) === JSON.stringify(after) ? [] : [{path: formatPath(path), before, after}];
 	}
 
-	const [first, second] = parts;
-	const names = [...new Set([...Object.keys(first), ...Object.keys(second)])];
-	return names.flatMap(name => getChanges(first[name], second[name], [...path, name]));
+	const [beforeParts, afterParts] = parts;
+	const names = [...new Set([...Object.keys(beforeParts), ...Object.keys(afterParts)])];
+	return names.flatMap(name => getChanges(beforeParts[name], afterParts[name], [...path, name]));
 };
 
-/** Gets the places at which two documents differ; the order of items that have names doesn't count. */
+/** Returns the differences between two documents; the order of list items that have names is ignored. */
 export const getDifference = (before: unknown, after: unknown): Change[] => getChanges(before, after, []);
 
-/** Formats a change as one line. */
+/** Formats a change as a single line. */
 export const formatChange = ({path, before, after}: Change): string => {
 	if (before === undefined) {
 		return `+ ${path}: ${formatFound(after)}`;
--- a/packages/config/src/examples.test.ts
+++ b/packages/config/src/examples.test.ts
@@ -17,12 +17,12 @@
 	return parsed.value;
 };
 
-test('orders the tiers of the examples from the highest', () => {
+test('sorts the tiers of the examples, the highest first', () => {
 	expect(getExample('kopi').rules.tiers.map(({name}) => name)).toEqual(['sales', 'yard', 'planning', 'background']);
 	expect(getExample('alfoldi').rules.tiers.map(({name}) => name)).toEqual(['members', 'office', 'tenders']);
 });
 
-test.each(['kopi', 'alfoldi'])('each customer of %s has a test key', name => {
+test.each(['kopi', 'alfoldi'])('each customer of the %s example is found by its test key', name => {
 	const configuration = getExample(name);
 	const found = keys.filter(({deployment}) => deployment === name)
 		.map(({customer, key}) => [customer, findCustomer(configuration, key)?.id]);
--- a/packages/config/src/keys.ts
+++ b/packages/config/src/keys.ts
@@ -2,36 +2,37 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 import type {Configuration, Customer} from '@gentianlift/types';
 
-type Owner = {digest: Uint8Array; customer: Customer};
+type KeyOwner = {digest: Uint8Array; customer: Customer};
 
-const owners = new WeakMap<Configuration, Map<string, Owner>>();
+/** Customers of each configuration by the digests of their keys, built on first use. */
+const ownersByConfiguration = new WeakMap<Configuration, Map<string, KeyOwner>>();
 
-const getOwners = (configuration: Configuration): Map<string, Owner> => {
-	const known = owners.get(configuration);
-	if (known !== undefined) {
-		return known;
+const getKeyOwners = (configuration: Configuration): Map<string, KeyOwner> => {
+	const cached = ownersByConfiguration.get(configuration);
+	if (cached !== undefined) {
+		return cached;
 	}
 
-	const created = new Map<string, Owner>();
+	const keyOwners = new Map<string, KeyOwner>();
 	for (const customer of configuration.inventory.customers) {
 		for (const digest of customer.keyDigests) {
-			created.set(digest, {digest: Buffer.from(digest, 'hex'), customer});
+			keyOwners.set(digest, {digest: Buffer.from(digest, 'hex'), customer});
 		}
 	}
 
-	owners.set(configuration, created);
-	return created;
+	ownersByConfiguration.set(configuration, keyOwners);
+	return keyOwners;
 };
 
-/** Gets the digest of a customer's key as the configuration keeps it: SHA-256 in lower-case hex. */
+/** Returns the digest of a customer's key in the format of the configuration: SHA-256 in lower-case hexadecimal. */
 export const getKeyDigest = (key: string): string => createHash('sha256').update(key).digest('hex');
 
 /**
-Finds the customer whose key it is; undefined if nobody's.
-Only digests are compared, and the last comparison takes the same time for any digest, so the time taken tells nothing of a key.
+Finds the customer that a key belongs to; undefined if there is none.
+Only digests are compared, and the final comparison takes constant time, so that response times reveal nothing about valid keys.
 */
 export const findCustomer = (configuration: Configuration, key: string): Customer | undefined => {
 	const digest = getKeyDigest(key);
-	const owner = getOwners(configuration).get(digest);
+	const owner = getKeyOwners(configuration).get(digest);
 	return owner !== undefined && timingSafeEqual(owner.digest, Buffer.from(digest, 'hex')) ? owner.customer : undefined;
 };
--- a/packages/config/src/parse-configuration.ts
+++ b/packages/config/src/parse-configuration.ts
@@ -1,6 +1,6 @@
 import type {Configuration, Inventory, Rules} from '@gentianlift/types';
 import {
-	checkAdapters, checkCustomerClasses, checkCustomers, checkEngines, checkNames, checkUpstreams,
+	checkAdapterModels, checkCustomerClasses, checkEngineModels, checkUniqueCustomers, checkUniqueNames, checkUniqueUpstreams,
 } from './check-inventory.js';
 import {
 	checkClasses, checkHours, checkMatches, checkTargets,
@@ -8,17 +8,17 @@
 import {configurationSchema, sectionSchemas, type Section} from './configuration-schema.js';
 import type {Diagnostic, Parsed} from './diagnostic.js';
 import {readDocument} from './read-document.js';
-import {checkFloors, checkTiers, getOrderedTiers} from './tiers.js';
+import {checkFloors, checkTiers, sortTiers} from './tiers.js';
 
-/** A check and the sections that it reads; it runs once their shape is right. */
-type Check = {sections: readonly Section[]; check: (configuration: Configuration) => Diagnostic[]};
+/** A check and the sections that it reads. It runs only if the schemas of these sections accept them. */
+type SectionCheck = {sections: readonly Section[]; check: (configuration: Configuration) => Diagnostic[]};
 
-const checks: readonly Check[] = [
-	{sections: ['engines', 'services'], check: checkUpstreams},
-	{sections: ['models', 'adapters', 'services'], check: checkNames},
-	{sections: ['models', 'adapters'], check: checkAdapters},
-	{sections: ['engines', 'models', 'adapters'], check: checkEngines},
-	{sections: ['customers'], check: checkCustomers},
+const checks: readonly SectionCheck[] = [
+	{sections: ['engines', 'services'], check: checkUniqueUpstreams},
+	{sections: ['models', 'adapters', 'services'], check: checkUniqueNames},
+	{sections: ['models', 'adapters'], check: checkAdapterModels},
+	{sections: ['engines', 'models', 'adapters'], check: checkEngineModels},
+	{sections: ['customers'], check: checkUniqueCustomers},
 	{sections: ['customers', 'classes'], check: checkCustomerClasses},
 	{sections: ['tiers'], check: checkTiers},
 	{sections: ['tiers'], check: checkFloors},
@@ -28,12 +28,12 @@
 	{sections: ['engines', 'models', 'adapters', 'services', 'classes'], check: checkMatches},
 ];
 
-const getObject = (value: unknown): Record<string, unknown> =>
+const asObject = (value: unknown): Record<string, unknown> =>
 	typeof value === 'object' && value !== null ? value as Record<string, unknown> : {};
 
-const getSections = (document: unknown): Partial<Inventory & Rules> => {
-	const {inventory, rules} = getObject(document);
-	const fields = {...getObject(inventory), ...getObject(rules)};
+const parseSections = (document: unknown): Partial<Inventory & Rules> => {
+	const {inventory, rules} = asObject(document);
+	const fields = {...asObject(inventory), ...asObject(rules)};
 	const sections = Object.entries(sectionSchemas).flatMap(([name, schema]) => {
 		const result = schema.safeParse(fields[name]);
 		return result.success ? [[name, result.data] as const] : [];
@@ -41,8 +41,8 @@
 	return Object.fromEntries(sections);
 };
 
-const checkSections = (found: Partial<Inventory & Rules>): Diagnostic[] => {
-	const {engines = [], models = [], adapters = [], services = [], customers = [], tiers = [], classes = []} = found;
+const checkSections = (parsedSections: Partial<Inventory & Rules>): Diagnostic[] => {
+	const {engines = [], models = [], adapters = [], services = [], customers = [], tiers = [], classes = []} = parsedSections;
 	const configuration = {
 		inventory: {
 			engines, models, adapters, services, customers,
@@ -50,21 +50,21 @@
 		rules: {tiers, classes},
 	};
 	return checks
-		.filter(({sections}) => sections.every(section => found[section] !== undefined))
+		.filter(({sections}) => sections.every(section => parsedSections[section] !== undefined))
 		.flatMap(({check}) => check(configuration));
 };
 
-const getOrderedConfiguration = (configuration: Configuration): Configuration => ({
+const sortConfigurationTiers = (configuration: Configuration): Configuration => ({
 	...configuration,
-	rules: {...configuration.rules, tiers: getOrderedTiers(configuration.rules.tiers)},
+	rules: {...configuration.rules, tiers: sortTiers(configuration.rules.tiers)},
 });
 
-/** Parses the operators' configuration, fills in defaults and orders its tiers, the highest first. */
+/** Parses the operators' configuration, fills in defaults and sorts its tiers, the highest first. */
 export const parseConfiguration = (document: unknown): Parsed<Configuration> => {
 	const {value, faults} = readDocument(configurationSchema, document);
-	const sections = value === undefined ? getSections(document) : {...value.inventory, ...value.rules};
-	const found = [...faults, ...checkSections(sections)];
-	return value === undefined || found.length > 0
-		? {kind: 'invalid', faults: found}
-		: {kind: 'valid', value: getOrderedConfiguration(value)};
+	const sections = value === undefined ? parseSections(document) : {...value.inventory, ...value.rules};
+	const diagnostics = [...faults, ...checkSections(sections)];
+	return value === undefined || diagnostics.length > 0
+		? {kind: 'invalid', faults: diagnostics}
+		: {kind: 'valid', value: sortConfigurationTiers(value)};
 };
--- a/packages/config/src/parse-settings.test.ts
+++ b/packages/config/src/parse-settings.test.ts
@@ -14,7 +14,7 @@
 	weightStoreUrl: 'http://127.0.0.1:1012',
 };
 
-const getFaults = (document: unknown): string[] => {
+const getDiagnostics = (document: unknown): string[] => {
 	const parsed = parseSettings(document);
 	return parsed.kind === 'invalid' ? parsed.faults.map(fault => formatDiagnostic(fault)) : [];
 };
@@ -26,8 +26,8 @@
 	});
 });
 
-test('reports all faults and shows no peer key', () => {
-	expect(getFaults({
+test('reports all errors without revealing a peer key', () => {
+	expect(getDiagnostics({
 		...settings, peerKeys: ['short'], callerAddress: 'localhost:80', keyValueUrl: 'ftp://x', zone: undefined, port: 1,
 	})).toEqual([
 		'$.zone: found nothing, expected a text',
@@ -38,11 +38,11 @@
 	]);
 });
 
-test('refuses two listeners on one address', () => {
-	expect(getFaults({...settings, peerAddress: settings.callerAddress}))
+test('rejects two listeners with the same address', () => {
+	expect(getDiagnostics({...settings, peerAddress: settings.callerAddress}))
 		.toEqual(['$.peerAddress: found "127.0.0.1:1001", expected an address of its own; $.callerAddress has the same']);
 });
 
-test('reports a text that is not JSON', () => {
+test('rejects text that is not JSON', () => {
 	expect(parseJson('{').kind).toBe('invalid');
 });
--- a/packages/config/src/read-document.ts
+++ b/packages/config/src/read-document.ts
@@ -3,22 +3,23 @@
 
 type Issue = z.core.$ZodIssue;
 
+/** Fields whose values are left out of diagnostics. */
 const secretFields: ReadonlySet<string> = new Set(['peerKeys']);
 
-const getAt = (document: unknown, path: Path): unknown => {
+const getValueAt = (document: unknown, path: Path): unknown => {
 	let value: unknown = document;
-	for (const step of path) {
+	for (const segment of path) {
 		if (typeof value !== 'object' || value === null) {
 			return undefined;
 		}
 
-		value = (value as Record<string | number, unknown>)[step];
+		value = (value as Record<string | number, unknown>)[segment];
 	}
 
 	return value;
 };
 
-const getSize = (origin: string, bound: string): string => {
+const describeBound = (origin: string, bound: string): string => {
 	switch (origin) {
 		case 'string': {
 			return `a text of ${bound} characters`;
@@ -43,18 +44,18 @@
 	object: 'an object',
 };
 
-const getExpected = (issue: Issue): string => {
+const describeExpected = (issue: Issue): string => {
 	switch (issue.code) {
 		case 'invalid_type': {
 			return typeNames[issue.expected] ?? issue.expected;
 		}
 
 		case 'too_small': {
-			return getSize(issue.origin, issue.inclusive === false ? `more than ${issue.minimum}` : `at least ${issue.minimum}`);
+			return describeBound(issue.origin, issue.inclusive === false ? `more than ${issue.minimum}` : `at least ${issue.minimum}`);
 		}
 
 		case 'too_big': {
-			return getSize(issue.origin, issue.inclusive === false ? `less than ${issue.maximum}` : `at most ${issue.maximum}`);
+			return describeBound(issue.origin, issue.inclusive === false ? `less than ${issue.maximum}` : `at most ${issue.maximum}`);
 		}
 
 		case 'invalid_value': {
@@ -73,29 +74,29 @@
 	}
 };
 
-const getPath = (issue: Issue): Path => issue.path.map(step => typeof step === 'symbol' ? String(step) : step);
+const getIssuePath = (issue: Issue): Path => issue.path.map(segment => typeof segment === 'symbol' ? String(segment) : segment);
 
-const getIssueDiagnostics = (document: unknown, issue: Issue): Diagnostic[] => {
-	const path = getPath(issue);
+const createIssueDiagnostics = (document: unknown, issue: Issue): Diagnostic[] => {
+	const path = getIssuePath(issue);
 	if (issue.code === 'unrecognized_keys') {
-		return issue.keys.map(key => createDiagnostic([...path, key], getAt(document, [...path, key]), 'no field of this name'));
+		return issue.keys.map(key => createDiagnostic([...path, key], getValueAt(document, [...path, key]), 'no field of this name'));
 	}
 
-	const isSecret = path.some(step => secretFields.has(String(step)));
-	const found = getAt(document, path);
-	const diagnostic = createDiagnostic(path, found, getExpected(issue));
+	const isSecret = path.some(segment => secretFields.has(String(segment)));
+	const found = getValueAt(document, path);
+	const diagnostic = createDiagnostic(path, found, describeExpected(issue));
 	return [isSecret && found !== undefined ? {...diagnostic, found: 'a value that is not shown'} : diagnostic];
 };
 
-/** What a schema makes of a document: the value if its shape is right, and every fault of its shape. */
-export type DocumentReading<Value> = {value?: Value; faults: Diagnostic[]};
+/** Result of reading a document: the value if the schema accepts it, else a diagnostic for each issue that the schema found. */
+export type DocumentResult<Value> = {value?: Value; faults: Diagnostic[]};
 
-/** Reads a document with a schema and reports every fault of its shape. */
-export const readDocument = <Value>(schema: z.ZodType<Value>, document: unknown): DocumentReading<Value> => {
+/** Reads a document with a schema and reports all of its issues. */
+export const readDocument = <Value>(schema: z.ZodType<Value>, document: unknown): DocumentResult<Value> => {
 	const result = schema.safeParse(document);
 	if (result.success) {
 		return {value: result.data, faults: []};
 	}
 
-	return {faults: result.error.issues.flatMap(issue => getIssueDiagnostics(document, issue))};
+	return {faults: result.error.issues.flatMap(issue => createIssueDiagnostics(document, issue))};
 };
--- a/packages/config/src/settings-schema.ts
+++ b/packages/config/src/settings-schema.ts
@@ -4,9 +4,10 @@
 	addressField, countField, durationField, nameField, urlField,
 } from './fields.js';
 
-const shortestPeerKey = 16;
+/** Minimum number of characters of a key that hosts share to authenticate each other. */
+const minPeerKeyLength = 16;
 
-const callerLimits = z.strictObject({
+const callerLimitsSchema = z.strictObject({
 	headerBytes: countField.default(16 * 1024),
 	bodyBytes: countField.default(4 * 1024 * 1024),
 	headerTimeout: durationField.default(10_000),
@@ -14,7 +15,7 @@
 	connections: countField.default(20_000),
 });
 
-const silenceLimits = z.strictObject({
+const silenceLimitsSchema = z.strictObject({
 	caller: durationField.default(60_000),
 	firstToken: durationField.default(60_000),
 	betweenTokens: durationField.default(10_000),
@@ -24,13 +25,13 @@
 	watch: durationField.default(5000),
 });
 
-const seed = z.strictObject({
+const seedSchema = z.strictObject({
 	host: nameField,
 	peerAddress: addressField,
 	gossipAddress: addressField,
 });
 
-/** Shape and defaults of the settings of one router process. */
+/** Schema of the settings of one router process, with defaults. */
 export const settingsSchema: z.ZodType<Settings> = z.strictObject({
 	host: nameField,
 	zone: nameField,
@@ -38,15 +39,15 @@
 	operatorAddress: addressField,
 	peerAddress: addressField,
 	gossipAddress: addressField,
-	peerKeys: z.array(z.string().min(shortestPeerKey)).min(1),
-	seeds: z.array(seed).default([]),
+	peerKeys: z.array(z.string().min(minPeerKeyLength)).min(1),
+	seeds: z.array(seedSchema).default([]),
 	keyValueUrl: urlField,
 	hostListUrl: urlField,
 	weightStoreUrl: urlField,
 	logLevel: z.enum(['trace', 'debug', 'info', 'warn', 'error']).default('info'),
 	addressTimeToLive: durationField.default(5000),
-	callerLimits: callerLimits.prefault({}),
-	silenceLimits: silenceLimits.prefault({}),
+	callerLimits: callerLimitsSchema.prefault({}),
+	silenceLimits: silenceLimitsSchema.prefault({}),
 	seed: z.int().optional(),
 	order: z.enum(['policy', 'first-in-first-out', 'least-outstanding']).default('policy'),
 	without: z.array(nameField).default([]),
