--- a/packages/config/src/check-inventory.ts
+++ b/packages/config/src/check-inventory.ts
@@ -49,6 +49,7 @@
 		: [createDiagnostic(['inventory', 'adapters', index, 'model'], model, 'the name of a model')]);
 };
 
+/** Checks that the adapters of an engine exist and that the engine lists their base models. */
 const checkEngineAdapters = ({inventory}: Configuration, engine: Engine, path: Path): Diagnostic[] => {
 	const models = new Map(inventory.adapters.map(({name, model}) => [name, model]));
 	return engine.adapters.flatMap((name, index) => {
--- a/packages/config/src/check-rules.ts
+++ b/packages/config/src/check-rules.ts
@@ -18,6 +18,7 @@
 const minutesPerHour = 60;
 const minutesPerDay = 24 * minutesPerHour;
 
+/** Returns the minutes since midnight of a time of day such as 08:30. */
 const parseMinutes = (time: string): number => {
 	const [hours = 0, minutes = 0] = time.split(':').map(Number);
 	return (hours * minutesPerHour) + minutes;
--- a/packages/config/src/keys.ts
+++ b/packages/config/src/keys.ts
@@ -2,6 +2,7 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 import type {Configuration, Customer} from '@gentianlift/types';
 
+/** The digest of a key as bytes, and the customer that the key belongs to. */
 type KeyOwner = {digest: Uint8Array; customer: Customer};
 
 /** Customers of each configuration by the digests of their keys, built on first use. */
--- a/packages/config/src/parse-configuration.ts
+++ b/packages/config/src/parse-configuration.ts
@@ -31,6 +31,7 @@
 const asObject = (value: unknown): Record<string, unknown> =>
 	typeof value === 'object' && value !== null ? value as Record<string, unknown> : {};
 
+/** Parses each section separately; sections that their schema rejects are left out. */
 const parseSections = (document: unknown): Partial<Inventory & Rules> => {
 	const {inventory, rules} = asObject(document);
 	const fields = {...asObject(inventory), ...asObject(rules)};
--- a/packages/config/src/settings-schema.ts
+++ b/packages/config/src/settings-schema.ts
@@ -7,6 +7,7 @@
 /** Minimum number of characters of a key that hosts share to authenticate each other. */
 const minPeerKeyLength = 16;
 
+/** Limits on the connections and requests of callers; timeouts in milliseconds. */
 const callerLimitsSchema = z.strictObject({
 	headerBytes: countField.default(16 * 1024),
 	bodyBytes: countField.default(4 * 1024 * 1024),
@@ -15,6 +16,7 @@
 	connections: countField.default(20_000),
 });
 
+/** Silence timeouts in milliseconds, by the other side of a call and the phase of its response. */
 const silenceLimitsSchema = z.strictObject({
 	caller: durationField.default(60_000),
 	firstToken: durationField.default(60_000),
--- a/packages/config/src/tiers.ts
+++ b/packages/config/src/tiers.ts
@@ -24,6 +24,7 @@
 		? [createDiagnostic(['rules', 'tiers', index, 'outranks'], outranks, `tiers that don't outrank ${name} in turn`)]
 		: []);
 
+/** Checks that of any two tiers one outranks the other. */
 const checkTotalOrder = (tiers: Tier[]): Diagnostic[] => tiers.flatMap(({name}, index) => tiers.slice(index + 1).flatMap(other => {
 	const isOrdered = getOutrankedNames(tiers, name).has(other.name) || getOutrankedNames(tiers, other.name).has(name);
 	const expected = `an order between ${name} and ${other.name}: one must outrank the other`;
--- a/packages/distribution/src/peer-choice.ts
+++ b/packages/distribution/src/peer-choice.ts
@@ -5,7 +5,7 @@
 export const getPeers = (members: readonly Member[], self: HostId): Member[] =>
 	members.filter(({host, state}) => host !== self && state !== 'gone');
 
-/** Picks a random host among those that advertise at least a version, so that its first holder isn't called by all hosts. */
+/** Picks a random host among those that advertise a version or a newer one, so that the first host to have it isn't called by all others. */
 export const pickHostWithVersion = (peers: Member[], version: number, random: Random): HostId | undefined =>
 	random.pick(peers.filter(({configurationVersion}) => configurationVersion >= version))?.host;
 
--- a/packages/distribution/src/publish.ts
+++ b/packages/distribution/src/publish.ts
@@ -64,6 +64,7 @@
 	configuration: publication.configuration,
 });
 
+/** Archives the current version if necessary and writes the new one. Returns undefined if the outcome has to be read from the service. */
 const writeVersion = async (attempt: PublishAttempt, versionNumber: number, stored: StoredVersion | undefined): Promise<PublishOutcome | undefined> => {
 	const {options} = attempt;
 	const archived = stored === undefined || attempt.isBaseArchived ? undefined : await archiveVersion(options.keyValue, stored);
@@ -153,6 +154,7 @@
 	}
 };
 
+/** Returns the outcome of a publication that wasn't resolved before its timeout. */
 const getTimeoutOutcome = ({hasUnsettledWrite, publication, lastFailure}: PublishAttempt): PublishOutcome =>
 	hasUnsettledWrite ? {kind: 'unknown', token: publication.token, reason: lastFailure} : {kind: 'unavailable', reason: lastFailure};
 
--- a/packages/distribution/src/store.ts
+++ b/packages/distribution/src/store.ts
@@ -16,6 +16,7 @@
 /** Accepts a stored configuration without validation, so that old versions stay readable after the validation rules change. */
 const skipValidation = (document: unknown) => ({kind: 'valid', value: document as Configuration} as const);
 
+/** Parses an entry of the key-value service as an accepted version. */
 const parseEntry = ({key, value, revision}: Entry): VersionReading => {
 	const parsed = parseVersionText(value, skipValidation);
 	if (parsed.kind === 'valid') {
--- a/packages/peers/src/compact.ts
+++ b/packages/peers/src/compact.ts
@@ -1,7 +1,7 @@
 /**
 Field names that are sent as numbers in messages between hosts.
 
-A name's number is its index, and both ends must agree on it, so names may only be appended.
+A name's number is its index in this list, in base 36. Both ends must agree on it, so names may only be appended.
 */
 export const numberedNames = [
 	'host',
--- a/packages/peers/src/credentials.ts
+++ b/packages/peers/src/credentials.ts
@@ -39,6 +39,7 @@
 		return false;
 	}
 
+	// Compares in constant time, so that response times reveal nothing about the valid signature.
 	const actual = Buffer.from(signature);
 	return keys.some(key => {
 		const expected = Buffer.from(computeSignature(key, from, to, at));
