--- a/packages/clock/src/clock.test.ts
+++ b/packages/clock/src/clock.test.ts
@@ -3,30 +3,30 @@
 
 test('runs timers in order of their due time', async () => {
 	const clock = createManualClock();
-	const seen: string[] = [];
+	const fired: string[] = [];
 	clock.after(20, () => {
-		seen.push('b');
+		fired.push('b');
 	});
 	clock.after(10, () => {
-		seen.push('a');
+		fired.push('a');
 	});
 	await clock.advance(20);
-	expect(seen).toEqual(['a', 'b']);
+	expect(fired).toEqual(['a', 'b']);
 });
 
-test('a pause lets timers fire late', async () => {
+test('timers that fall due during a pause fire late', async () => {
 	const clock = createManualClock();
-	const seen: number[] = [];
+	const firedAt: number[] = [];
 	clock.after(10, () => {
-		seen.push(clock.now());
+		firedAt.push(clock.now());
 	});
 	clock.pause(50);
 	await clock.advance(0);
-	expect(seen).toEqual([50]);
+	expect(firedAt).toEqual([50]);
 });
 
-test('repeats numbers of the same seed', () => {
-	const numbers = (seed: number) => Array.from({length: 3}, createRandom(seed).next);
-	expect(numbers(1)).toEqual(numbers(1));
-	expect(numbers(1)).not.toEqual(numbers(2));
+test('the same seed yields the same numbers, another seed others', () => {
+	const drawNumbers = (seed: number) => Array.from({length: 3}, createRandom(seed).next);
+	expect(drawNumbers(1)).toEqual(drawNumbers(1));
+	expect(drawNumbers(1)).not.toEqual(drawNumbers(2));
 });
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,23 +1,23 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Ends a timer; calling it again has no effect. */
+/** Cancels a timer; further calls have no effect. */
 export type Cancel = () => void;
 
-/** Source of time for all packages. */
+/** Source of time and timers; packages take one as a dependency, so that tests can replace it. */
 export type Clock = {
-	/** Milliseconds since the epoch; may jump. */
+	/** Returns the milliseconds since the Unix epoch; jumps when the system time is adjusted. */
 	now: () => Milliseconds;
-	/** Milliseconds from an arbitrary start; never goes back, and counts pauses of the process. */
+	/** Returns the milliseconds since an arbitrary origin; never decreases, and includes time for which the process was suspended. */
 	monotonic: () => Milliseconds;
-	/** Calls `run` once after `delay`. */
+	/** Calls `run` once after `delay`; returns a function that cancels the timer. */
 	after: (delay: Milliseconds, run: () => void) => Cancel;
-	/** Calls `run` each `interval` until cancelled. */
+	/** Calls `run` every `interval` until the returned function is called. */
 	every: (interval: Milliseconds, run: () => void) => Cancel;
 	/** Resolves after `delay`. */
 	sleep: (delay: Milliseconds) => Promise<void>;
 };
 
-/** Creates the clock of the machine. Its timers don't keep the process alive, except those of `sleep`. */
+/** Creates a clock that reads the system time. Only a pending `sleep` keeps the process alive; its other timers are unreferenced. */
 export const createSystemClock = (): Clock => ({
 	now: () => Date.now(),
 	monotonic: () => performance.now(),
--- a/packages/clock/src/manual-clock.ts
+++ b/packages/clock/src/manual-clock.ts
@@ -1,35 +1,37 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {Cancel, Clock} from './clock.js';
 
-/** A clock that moves when a test says so. */
+/** Clock for tests, whose time changes only through `advance` and `pause`. */
 export type ManualClock = Clock & {
-	/** Moves time forward and runs the timers that fall due, in order, letting promises settle between them. */
+	/** Advances the time and runs the due timers in order, flushing pending microtasks before and after each. */
 	advance: (by: Milliseconds) => Promise<void>;
-	/** Moves time forward without running timers, as a paused process sees it. */
+	/** Advances the time without running timers, as when the process is suspended; due timers run late, at the next `advance`. */
 	pause: (by: Milliseconds) => void;
-	/** Number of timers not yet due. */
-	pending: () => number;
+	/** Returns the number of timers that have not yet fired or been cancelled. */
+	countPendingTimers: () => number;
 };
 
-type Timer = {due: Milliseconds; order: number; run: () => void; interval?: Milliseconds};
+/** Pending timer; timers due at the same time run in order of `sequence`. */
+type Timer = {dueAt: Milliseconds; sequence: number; run: () => void; interval?: Milliseconds};
 
-const settleRounds = 20;
+/** Microtask turns per flush: the longest promise chain that settles between two timers. */
+const microtaskRounds = 20;
 
-const settle = async (): Promise<void> => {
-	for (let round = 0; round < settleRounds; round++) {
-		// eslint-disable-next-line no-await-in-loop -- Each round lets one more step of a promise chain run.
+const flushMicrotasks = async (): Promise<void> => {
+	for (let round = 0; round < microtaskRounds; round++) {
+		// eslint-disable-next-line no-await-in-loop -- Each round runs one more step of a pending promise chain.
 		await Promise.resolve();
 	}
 };
 
-/** Creates a clock for tests that starts at `start`. */
+/** Creates a manual clock whose time begins at `start`. */
 export const createManualClock = (start: Milliseconds = 0): ManualClock => {
-	let time = start;
-	let order = 0;
+	let currentTime = start;
+	let nextSequence = 0;
 	const timers = new Set<Timer>();
 
-	const add = (delay: Milliseconds, run: () => void, interval?: Milliseconds): Cancel => {
-		const timer: Timer = {due: time + Math.max(0, delay), order: order++, run};
+	const addTimer = (delay: Milliseconds, run: () => void, interval?: Milliseconds): Cancel => {
+		const timer: Timer = {dueAt: currentTime + Math.max(0, delay), sequence: nextSequence++, run};
 		if (interval !== undefined) {
 			timer.interval = interval;
 		}
@@ -40,11 +42,11 @@
 		};
 	};
 
-	const getNext = (until: Milliseconds): Timer | undefined => {
+	const findNextDue = (until: Milliseconds): Timer | undefined => {
 		let next: Timer | undefined;
 		for (const timer of timers) {
-			const isEarlier = next === undefined || timer.due < next.due || (timer.due === next.due && timer.order < next.order);
-			if (timer.due <= until && isEarlier) {
+			const isEarlier = next === undefined || timer.dueAt < next.dueAt || (timer.dueAt === next.dueAt && timer.sequence < next.sequence);
+			if (timer.dueAt <= until && isEarlier) {
 				next = timer;
 			}
 		}
@@ -53,39 +55,39 @@
 	};
 
 	const fire = (timer: Timer): void => {
-		time = Math.max(time, timer.due);
+		currentTime = Math.max(currentTime, timer.dueAt);
 		if (timer.interval === undefined) {
 			timers.delete(timer);
 		} else {
-			timer.due = time + timer.interval;
-			timer.order = order++;
+			timer.dueAt = currentTime + timer.interval;
+			timer.sequence = nextSequence++;
 		}
 
 		timer.run();
 	};
 
 	return {
-		now: () => time,
-		monotonic: () => time,
-		after: (delay, run) => add(delay, run),
-		every: (interval, run) => add(interval, run, interval),
+		now: () => currentTime,
+		monotonic: () => currentTime,
+		after: (delay, run) => addTimer(delay, run),
+		every: (interval, run) => addTimer(interval, run, interval),
 		sleep: async delay => new Promise(resolve => {
-			add(delay, resolve);
+			addTimer(delay, resolve);
 		}),
 		async advance(by) {
-			const until = time + by;
-			await settle();
-			for (let timer = getNext(until); timer !== undefined; timer = getNext(until)) {
+			const until = currentTime + by;
+			await flushMicrotasks();
+			for (let timer = findNextDue(until); timer !== undefined; timer = findNextDue(until)) {
 				fire(timer);
-				// eslint-disable-next-line no-await-in-loop -- Timers run one after another.
-				await settle();
+				// eslint-disable-next-line no-await-in-loop -- Timers run sequentially, in order of their due time.
+				await flushMicrotasks();
 			}
 
-			time = Math.max(time, until);
+			currentTime = Math.max(currentTime, until);
 		},
 		pause(by) {
-			time += by;
+			currentTime += by;
 		},
-		pending: () => timers.size,
+		countPendingTimers: () => timers.size,
 	};
 };
--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -1,22 +1,23 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Source of random numbers, seeded so that runs repeat. */
+/** Pseudo-random number generator; the same seed yields the same sequence, so that runs are reproducible. */
 export type Random = {
-	/** A number from 0 up to, but not including, 1. */
+	/** Returns a uniform number in [0, 1). */
 	next: () => number;
-	/** A whole number from 0 up to, but not including, `bound`. */
+	/** Returns a uniform integer in [0, `bound`). */
 	below: (bound: number) => number;
-	/** One of the items; undefined if there are none. */
+	/** Returns a uniformly chosen item; undefined if there are none. */
 	pick: <Item>(items: readonly Item[]) => Item | undefined;
 };
 
-const range = 2 ** 32;
-const signedOffset = 2 ** 31;
+// The generator yields signed 32-bit integers, which are shifted and scaled to [0, 1).
+const uint32Range = 2 ** 32;
+const int32Offset = 2 ** 31;
 
-/** Creates a source of random numbers from a seed. */
+/** Creates a random number generator from a seed. */
 export const createRandom = (seed: number): Random => {
 	const generator = xoroshiro128plus(seed);
-	const next = (): number => (generator.next() + signedOffset) / range;
+	const next = (): number => (generator.next() + int32Offset) / uint32Range;
 	const below = (bound: number): number => Math.floor(next() * bound);
 	return {
 		next,
--- a/packages/logger/src/output.test.ts
+++ b/packages/logger/src/buffered-output.test.ts
@@ -4,9 +4,9 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {expect, onTestFinished, test} from 'vitest';
-import {createOutput} from './output.js';
+import {createOutput} from './buffered-output.js';
 
-const openLog = (): {path: string; file: number} => {
+const openLogFile = (): {path: string; file: number} => {
 	const path = join(mkdtempSync(join(tmpdir(), 'log-')), 'out');
 	const file = openSync(path, 'w');
 	onTestFinished(() => {
@@ -15,17 +15,17 @@
 	return {path, file};
 };
 
-test('writes lines in order', async () => {
-	const {path, file} = openLog();
-	const output = createOutput({file, now: () => 0});
+test('writes buffered lines in order', async () => {
+	const {path, file} = openLogFile();
+	const output = createOutput({fileDescriptor: file, now: () => 0});
 	output.write('a\n');
 	output.write('b\n');
 	await expect.poll(() => readFileSync(path, 'utf8')).toBe('a\nb\n');
 });
 
-test('drops lines beyond what is held and tells how many', () => {
-	const {path, file} = openLog();
-	const output = createOutput({file, now: () => 0});
+test('drops lines beyond the buffer capacity and logs how many were dropped', () => {
+	const {path, file} = openLogFile();
+	const output = createOutput({fileDescriptor: file, now: () => 0});
 	const line = `${'x'.repeat(400 * 1024)}\n`;
 	output.write(line);
 	output.write(line);
--- a/packages/logger/src/format-line.test.ts
+++ b/packages/logger/src/format-line.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {formatLine} from './format-line.js';
 
-test('quotes values that hold spaces or quotes', () => {
+test('quotes values that contain spaces or quotes', () => {
 	const line = formatLine({
 		time: 0, level: 'info', event: 'refused', detail: 'a "b" c', count: 2,
 	});
--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -1,3 +1,3 @@
 export * from './logger.js';
 export * from './format-line.js';
-export * from './output.js';
+export * from './buffered-output.js';
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -2,27 +2,28 @@
 import {pino, type Logger as PinoLogger} from 'pino';
 import {formatLine} from './format-line.js';
 
-/** Values of a log line. */
+/** Fields of a log line besides its time, level and event. */
 export type LogFields = Record<string, string | number | boolean | undefined>;
 
-/** Levels of log lines, from the most to the least frequent. */
+/** Log levels in ascending severity. */
 export const logLevels = ['trace', 'debug', 'info', 'warn', 'error'] as const;
-/** One of `logLevels`. */
+/** Severity of a log line. */
 export type LogLevel = typeof logLevels[number];
 
-/** Writes one line for each event. */
+/** Structured logger: each call writes one line with the event's name and fields, unless its level is disabled. */
 export type Logger = Record<LogLevel, (event: string, fields?: LogFields) => void> & {
+	/** Sets the lowest severity that is written. */
 	setLevel: (level: LogLevel) => void;
 	getLevel: () => LogLevel;
 };
 
-const createWrite = (target: PinoLogger, level: LogLevel) => (event: string, fields: LogFields = {}): void => {
+const createLevelWriter = (target: PinoLogger, level: LogLevel) => (event: string, fields: LogFields = {}): void => {
 	target[level]({...fields, event});
 };
 
-/** Creates a logger that writes key=value lines through `write`, on standard error by default. */
+/** Creates a logger that passes `key=value` lines to `write`, by default to standard error. */
 export const createLogger = (level: LogLevel = 'info', write: (line: string) => void = writeStandardError): Logger => {
-	const target = pino({
+	const pinoLogger = pino({
 		level,
 		base: undefined,
 		formatters: {level: label => ({level: label})},
@@ -32,19 +33,19 @@
 		},
 	});
 	return {
-		trace: createWrite(target, 'trace'),
-		debug: createWrite(target, 'debug'),
-		info: createWrite(target, 'info'),
-		warn: createWrite(target, 'warn'),
-		error: createWrite(target, 'error'),
+		trace: createLevelWriter(pinoLogger, 'trace'),
+		debug: createLevelWriter(pinoLogger, 'debug'),
+		info: createLevelWriter(pinoLogger, 'info'),
+		warn: createLevelWriter(pinoLogger, 'warn'),
+		error: createLevelWriter(pinoLogger, 'error'),
 		setLevel(next) {
-			target.level = next;
+			pinoLogger.level = next;
 		},
-		getLevel: () => target.level as LogLevel,
+		getLevel: () => pinoLogger.level as LogLevel,
 	};
 };
 
-/** Creates a logger that writes nothing. */
+/** Creates a logger that discards all lines. */
 export const createSilentLogger = (): Logger => createLogger('error', () => undefined);
 
 function writeStandardError(line: string): void {
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -1,37 +1,39 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** Labels of a series, such as `{reason: 'queue-full'}`. */
+/** Labels that identify a series of a metric, such as `{reason: 'queue-full'}`. */
 export type Labels = Record<string, string>;
 
-/** Percentiles of a histogram, in the unit that was recorded. */
+/** Summary statistics of a histogram, in the unit of the recorded values. */
 export type Summary = {count: number; mean: number; p50: number; p95: number; p99: number; max: number};
 
-/** Counters, gauges and histograms of a process. */
+/** Registry of the counters, gauges and histograms of a process. */
 export type Metrics = {
-	/** Adds to a counter. */
+	/** Increments a counter, by 1 if `by` is absent. */
 	count: (name: string, labels?: Labels, by?: number) => void;
-	/** Sets a gauge. */
+	/** Sets the value of a gauge. */
 	setGauge: (name: string, value: number, labels?: Labels) => void;
-	/** Records a value of a histogram, such as a latency in milliseconds. */
+	/** Records a value in a histogram, such as a latency in milliseconds. Values are rounded to integers and clamped to the histogram's range. */
 	record: (name: string, value: number, labels?: Labels) => void;
-	/** Value of a counter or gauge; 0 if never set. */
+	/** Returns the value of a counter or gauge; 0 if it was never set. */
 	getValue: (name: string, labels?: Labels) => number;
-	/** Summary of a histogram; undefined if never recorded. */
+	/** Returns the summary of a histogram; undefined if nothing was recorded. */
 	getSummary: (name: string, labels?: Labels) => Summary | undefined;
-	/** Scrape page in the Prometheus text format. */
+	/** Renders all series in the Prometheus text format, for a scrape. */
 	getPage: () => string;
 };
 
+/** A metric's value for one set of labels. */
 type Series<Value> = {name: string; labels: Labels; value: Value};
 
-const highestValue = 3_600_000;
+/** Upper bound of recorded values; one hour if they are in milliseconds. */
+const maxRecordedValue = 3_600_000;
 
-const getKey = (name: string, labels: Labels): string => {
+const formatSeriesKey = (name: string, labels: Labels): string => {
 	const pairs = Object.keys(labels).toSorted().map(key => `${key}="${labels[key] ?? ''}"`);
 	return pairs.length === 0 ? name : `${name}{${pairs.join(',')}}`;
 };
 
-const getHistogramSummary = (histogram: Histogram): Summary => ({
+const summarizeHistogram = (histogram: Histogram): Summary => ({
 	count: histogram.totalCount,
 	mean: histogram.mean,
 	p50: histogram.getValueAtPercentile(50),
@@ -40,31 +42,31 @@
 	max: histogram.maxValue,
 });
 
-const getSummaryLines = ({name, labels, value}: Series<Histogram>): string[] => {
-	const summary = getHistogramSummary(value);
+const formatSummaryLines = ({name, labels, value}: Series<Histogram>): string[] => {
+	const summary = summarizeHistogram(value);
 	return [
-		`${getKey(name, {...labels, quantile: '0.5'})} ${summary.p50}`,
-		`${getKey(name, {...labels, quantile: '0.95'})} ${summary.p95}`,
-		`${getKey(name, {...labels, quantile: '0.99'})} ${summary.p99}`,
-		`${getKey(`${name}_count`, labels)} ${summary.count}`,
-		`${getKey(`${name}_sum`, labels)} ${Math.round(summary.mean * summary.count)}`,
+		`${formatSeriesKey(name, {...labels, quantile: '0.5'})} ${summary.p50}`,
+		`${formatSeriesKey(name, {...labels, quantile: '0.95'})} ${summary.p95}`,
+		`${formatSeriesKey(name, {...labels, quantile: '0.99'})} ${summary.p99}`,
+		`${formatSeriesKey(`${name}_count`, labels)} ${summary.count}`,
+		`${formatSeriesKey(`${name}_sum`, labels)} ${Math.round(summary.mean * summary.count)}`,
 	];
 };
 
-/** Creates an empty set of metrics. Names are without the `gentianlift_` prefix, which the page adds. */
+/** Creates an empty registry. Callers name metrics without the `gentianlift_` prefix, which is added when they are rendered. */
 export const createMetrics = (): Metrics => {
 	const values = new Map<string, Series<number>>();
 	const histograms = new Map<string, Series<Histogram>>();
 
 	const getHistogram = (name: string, labels: Labels): Histogram => {
-		const key = getKey(name, labels);
-		const known = histograms.get(key);
-		if (known !== undefined) {
-			return known.value;
+		const key = formatSeriesKey(name, labels);
+		const existing = histograms.get(key);
+		if (existing !== undefined) {
+			return existing.value;
 		}
 
 		const value = build({
-			bitBucketSize: 32, autoResize: true, lowestDiscernibleValue: 1, highestTrackableValue: highestValue, numberOfSignificantValueDigits: 2,
+			bitBucketSize: 32, autoResize: true, lowestDiscernibleValue: 1, highestTrackableValue: maxRecordedValue, numberOfSignificantValueDigits: 2,
 		});
 		histograms.set(key, {name, labels, value});
 		return value;
@@ -72,24 +74,24 @@
 
 	return {
 		count(name, labels = {}, by = 1) {
-			const key = getKey(name, labels);
+			const key = formatSeriesKey(name, labels);
 			const series = values.get(key);
 			values.set(key, {name, labels, value: (series?.value ?? 0) + by});
 		},
 		setGauge(name, value, labels = {}) {
-			values.set(getKey(name, labels), {name, labels, value});
+			values.set(formatSeriesKey(name, labels), {name, labels, value});
 		},
 		record(name, value, labels = {}) {
-			getHistogram(name, labels).recordValue(Math.min(highestValue, Math.max(0, Math.round(value))));
+			getHistogram(name, labels).recordValue(Math.min(maxRecordedValue, Math.max(0, Math.round(value))));
 		},
-		getValue: (name, labels = {}) => values.get(getKey(name, labels))?.value ?? 0,
+		getValue: (name, labels = {}) => values.get(formatSeriesKey(name, labels))?.value ?? 0,
 		getSummary(name, labels = {}) {
-			const series = histograms.get(getKey(name, labels));
-			return series === undefined ? undefined : getHistogramSummary(series.value);
+			const series = histograms.get(formatSeriesKey(name, labels));
+			return series === undefined ? undefined : summarizeHistogram(series.value);
 		},
 		getPage() {
 			const lines = [...values].map(([key, series]) => `${key} ${series.value}`);
-			const summaries = [...histograms.values()].flatMap(series => getSummaryLines(series));
+			const summaries = [...histograms.values()].flatMap(series => formatSummaryLines(series));
 			return [...lines, ...summaries].map(line => `gentianlift_${line}\n`).join('');
 		},
 	};
