--- a/packages/platform/src/host-list-client.ts
+++ b/packages/platform/src/host-list-client.ts
@@ -11,7 +11,7 @@
 });
 const listSchema = z.object({hosts: z.array(hostSchema)});
 
-/** The host list behind HTTP. */
+/** Host list that is called over HTTP. */
 export type HostListClient = HostList & {close: () => void};
 
 /** Creates a client of the host list. */
--- a/packages/platform/src/json-client.ts
+++ b/packages/platform/src/json-client.ts
@@ -6,43 +6,44 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** A call of a service that speaks JSON over HTTP. */
+/** A request to a service with a JSON API over HTTP. */
 export type JsonCall = {
 	method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	path: string;
 	body?: unknown;
-	/** Time that the service may take beyond the client's timeout, as for a watch. */
+	/** Time by which both timeouts are extended, for calls that the service holds open, such as a watch. */
 	extraTime?: Milliseconds;
 };
 
-/** Outcome of a call: `unavailable` if nothing of it was written, `unknown` if the service may have carried it out. */
+/** Outcome of a call: `unavailable` if no byte of the request was sent, `unknown` if the service may have executed it. */
 export type JsonOutcome
 	= | {kind: 'answered'; status: number; body: unknown}
 		| {kind: 'unavailable'; reason: string}
 		| {kind: 'unknown'; reason: string};
 
-/** What a client of a platform service needs. */
+/** Options of a client of a platform service. */
 export type PlatformClientOptions = {
 	/** Base URL of the service, such as `http://10.0.0.1:7000`. */
 	url: string;
 	clock: Clock;
-	/** Longest time of a call, from its start to the last byte of its reply. */
+	/** Timeout of a call, from its start to the last byte of the reply. */
 	timeout: Milliseconds;
-	/** Longest time without a byte on a connection under way; the timeout if absent. */
-	silenceLimit?: Milliseconds;
+	/** Time after which a call on an inactive connection fails; `timeout` if absent. */
+	idleTimeout?: Milliseconds;
 	metrics?: Metrics;
 };
 
-/** Makes calls over kept-alive connections; never throws. */
+/** Client that pools keep-alive connections. Calls never throw: failures are outcomes. */
 export type JsonClient = {
 	call: (call: JsonCall) => Promise<JsonOutcome>;
 	close: () => void;
 };
 
-const longestReply = 64 * 1024 * 1024;
-const connectionLimit = 64;
+const maxReplyBytes = 64 * 1024 * 1024;
+const maxConnections = 64;
 
-type Exchange = {isWritten: boolean};
+/** Whether any byte of a request may have been sent. */
+type WriteProgress = {isWritten: boolean};
 
 const readBody = async (message: IncomingMessage): Promise<string> => {
 	const chunks: Uint8Array[] = [];
@@ -50,8 +51,8 @@
 	for await (const chunk of message) {
 		const bytes = chunk as Uint8Array;
 		length += bytes.length;
-		if (length > longestReply) {
-			throw new Error('the reply is too long');
+		if (length > maxReplyBytes) {
+			throw new Error('reply exceeds the size limit');
 		}
 
 		chunks.push(bytes);
@@ -62,17 +63,17 @@
 
 const parseBody = (text: string): unknown => text === '' ? undefined : JSON.parse(text) as unknown;
 
-/** Notes when bytes of the request may have left. */
-const trackWriting = (outgoing: ClientRequest, exchange: Exchange): void => {
+/** Records when the request is written to a connected socket: from then on the service may have received it. */
+const trackRequestWritten = (outgoing: ClientRequest, writeProgress: WriteProgress): void => {
 	outgoing.once('socket', socket => {
-		const mark = (): void => {
-			exchange.isWritten = true;
+		const markWritten = (): void => {
+			writeProgress.isWritten = true;
 		};
 
 		if (socket.connecting) {
-			socket.once('connect', mark);
+			socket.once('connect', markWritten);
 		} else {
-			mark();
+			markWritten();
 		}
 	});
 };
@@ -82,8 +83,8 @@
 	return code ?? message;
 };
 
-/** Closes connections that wait for a next call: those that went silent look the same as the others. */
-const closeIdle = (agent: Agent): void => {
+/** Closes the pooled idle connections: after a failure others of them may be dead too, which can't be told before they are used. */
+const closeIdleConnections = (agent: Agent): void => {
 	for (const sockets of Object.values(agent.freeSockets)) {
 		for (const socket of sockets ?? []) {
 			socket.destroy();
@@ -91,22 +92,22 @@
 	}
 };
 
-const getReply = async (outgoing: ClientRequest): Promise<IncomingMessage> => new Promise((resolve, reject) => {
+const waitForReply = async (outgoing: ClientRequest): Promise<IncomingMessage> => new Promise((resolve, reject) => {
 	outgoing.once('response', resolve);
 	outgoing.once('error', reject);
 });
 
-/** Creates a client of a JSON service. */
+/** Creates a client of a service with a JSON API. */
 export const createJsonClient = ({
-	url, clock, timeout, silenceLimit = timeout, metrics,
+	url, clock, timeout, idleTimeout = timeout, metrics,
 }: PlatformClientOptions): JsonClient => {
-	const agent = new Agent({keepAlive: true, maxSockets: connectionLimit});
+	const agent = new Agent({keepAlive: true, maxSockets: maxConnections});
 
-	const start = ({method, path, body, extraTime = 0}: JsonCall): ClientRequest => {
+	const startRequest = ({method, path, body, extraTime = 0}: JsonCall): ClientRequest => {
 		const text = body === undefined ? undefined : JSON.stringify(body);
 		const headers = text === undefined ? {} : {'content-type': 'application/json', 'content-length': Buffer.byteLength(text)};
 		const outgoing = request(new URL(path, url), {
-			agent, method, headers, timeout: silenceLimit + extraTime,
+			agent, method, headers, timeout: idleTimeout + extraTime,
 		});
 		outgoing.once('timeout', () => {
 			outgoing.destroy(new Error('silent'));
@@ -115,19 +116,19 @@
 		return outgoing;
 	};
 
-	const exchangeOnce = async (call: JsonCall): Promise<JsonOutcome> => {
-		const exchange: Exchange = {isWritten: false};
-		const outgoing = start(call);
-		trackWriting(outgoing, exchange);
+	const attemptCall = async (call: JsonCall): Promise<JsonOutcome> => {
+		const writeProgress: WriteProgress = {isWritten: false};
+		const outgoing = startRequest(call);
+		trackRequestWritten(outgoing, writeProgress);
 		const cancel = clock.after(timeout + (call.extraTime ?? 0), () => {
 			outgoing.destroy(new Error('timeout'));
 		});
 		try {
-			const message = await getReply(outgoing);
+			const message = await waitForReply(outgoing);
 			return {kind: 'answered', status: message.statusCode ?? 0, body: parseBody(await readBody(message))};
 		} catch (error) {
-			closeIdle(agent);
-			return {kind: exchange.isWritten ? 'unknown' : 'unavailable', reason: getReason(error)};
+			closeIdleConnections(agent);
+			return {kind: writeProgress.isWritten ? 'unknown' : 'unavailable', reason: getReason(error)};
 		} finally {
 			cancel();
 		}
@@ -135,10 +136,10 @@
 
 	return {
 		async call(call) {
-			// A read on a kept connection that the service has closed in the meantime is made once more.
+			// A read is retried once after a connection reset: the service may have closed the keep-alive connection while it was idle.
 			const startedAt = clock.monotonic();
-			const first = await exchangeOnce(call);
-			const outcome = first.kind === 'unknown' && call.method === 'GET' && first.reason === 'ECONNRESET' ? await exchangeOnce(call) : first;
+			const first = await attemptCall(call);
+			const outcome = first.kind === 'unknown' && call.method === 'GET' && first.reason === 'ECONNRESET' ? await attemptCall(call) : first;
 			metrics?.count('platform_calls', {method: call.method, outcome: outcome.kind});
 			metrics?.record('platform_call_duration', clock.monotonic() - startedAt, {method: call.method});
 			return outcome;
--- a/packages/platform/src/key-value-client.test.ts
+++ b/packages/platform/src/key-value-client.test.ts
@@ -7,35 +7,35 @@
 import {createSystemClock} from '@gentianlift/clock';
 import {createKeyValueClient, type KeyValueClient} from './index.js';
 
-const opened: Array<{server: Server; client: KeyValueClient}> = [];
+const openClients: Array<{server: Server; client: KeyValueClient}> = [];
 
-const serve = async (answer: (incoming: IncomingMessage, outgoing: ServerResponse) => void) => {
-	const server = createServer(answer);
+const startService = async (handle: (incoming: IncomingMessage, outgoing: ServerResponse) => void) => {
+	const server = createServer(handle);
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	const {port} = server.address() as AddressInfo;
 	const client = createKeyValueClient({url: `http://127.0.0.1:${port}`, clock: createSystemClock(), timeout: 200});
-	opened.push({server, client});
+	openClients.push({server, client});
 	return client;
 };
 
-const reply = (outgoing: ServerResponse, status: number, body?: unknown): void => {
+const sendReply = (outgoing: ServerResponse, status: number, body?: unknown): void => {
 	outgoing.writeHead(status).end(body === undefined ? undefined : JSON.stringify(body));
 };
 
 afterEach(() => {
-	for (const {server, client} of opened.splice(0)) {
+	for (const {server, client} of openClients.splice(0)) {
 		client.close();
 		server.closeAllConnections();
 		server.close();
 	}
 });
 
-test('tells applied, rejected and not applied apart', async () => {
+test('distinguishes applied, rejected, not applied and unknown writes', async () => {
 	const answers: Array<[number, unknown]> = [[200, {revision: 3}], [409, {revision: 2}], [429, {}], [503, {}], [500, {}]];
-	const client = await serve((incoming, outgoing) => {
+	const client = await startService((incoming, outgoing) => {
 		incoming.resume();
-		reply(outgoing, ...answers.shift()!);
+		sendReply(outgoing, ...answers.shift()!);
 	});
 	const write = async () => client.compareAndSwap({key: 'a/b', value: '1', expected: 0});
 	expect(await write()).toEqual({kind: 'applied', revision: 3});
@@ -45,31 +45,31 @@
 	expect(await write()).toMatchObject({kind: 'unknown'});
 });
 
-test('a reset after writing is unknown, a refused connection unavailable', async () => {
-	const client = await serve(incoming => {
+test('a reset after the request was sent is unknown, a refused connection unavailable', async () => {
+	const client = await startService(incoming => {
 		incoming.socket.destroy();
 	});
 	const write = async () => client.compareAndSwap({key: 'a', value: '1', expected: 0});
 	expect(await write()).toMatchObject({kind: 'unknown'});
-	opened[0]!.server.close();
-	await once(opened[0]!.server, 'close');
+	openClients[0]!.server.close();
+	await once(openClients[0]!.server, 'close');
 	expect(await write()).toMatchObject({kind: 'unavailable', reason: 'ECONNREFUSED'});
 });
 
-test('a silent connection is replaced', async () => {
+test('replaces a connection that stopped answering', async () => {
 	const connections = new Set<unknown>();
-	const client = await serve((incoming, outgoing) => {
+	const client = await startService((incoming, outgoing) => {
 		connections.add(incoming.socket);
 		if (connections.size > 1) {
-			reply(outgoing, 404);
+			sendReply(outgoing, 404);
 		}
 	});
 	expect(await client.read('a')).toMatchObject({kind: 'unavailable'});
 	expect(await client.read('a')).toEqual({kind: 'absent'});
 });
 
-test('a cut reply of a write is unknown', async () => {
-	const client = await serve((incoming, outgoing) => {
+test('a truncated reply to a write is unknown', async () => {
+	const client = await startService((incoming, outgoing) => {
 		outgoing.writeHead(200, {'content-length': 20});
 		outgoing.write('{"rev');
 		outgoing.socket?.destroySoon();
@@ -77,12 +77,12 @@
 	expect(await client.remove('a', 1)).toMatchObject({kind: 'unknown'});
 });
 
-test('escapes keys and watches past the timeout', async () => {
+test('escapes keys, and a watch may outlast the timeout', async () => {
 	const paths: string[] = [];
-	const client = await serve((incoming, outgoing) => {
+	const client = await startService((incoming, outgoing) => {
 		paths.push(incoming.url ?? '');
 		setTimeout(() => {
-			reply(outgoing, 200, {key: 'a/b', value: '', revision: 9});
+			sendReply(outgoing, 200, {key: 'a/b', value: '', revision: 9});
 		}, 250);
 	});
 	expect(await client.watch('a/b', 8, 300)).toMatchObject({kind: 'changed', entry: {revision: 9}});
--- a/packages/platform/src/key-value-client.ts
+++ b/packages/platform/src/key-value-client.ts
@@ -9,54 +9,56 @@
 const revisionSchema = z.object({revision: z.number()});
 const leaseSchema = z.object({lease: z.string(), expiresIn: z.number()});
 
-const statuses = {
+const httpStatus = {
 	ok: 200, empty: 204, absent: 404, rejected: 409, limited: 429, unavailable: 503,
 };
-const notApplied = new Set([statuses.limited, statuses.unavailable]);
+/** Statuses with which the service rejects a call before applying it. */
+const notAppliedStatuses = new Set([httpStatus.limited, httpStatus.unavailable]);
 
 type Failure = {kind: 'unavailable' | 'unknown'; reason: string};
 type Unavailable = {kind: 'unavailable'; reason: string};
 
-/** Gets why a call without effect gave no answer that can be used. */
+/** Returns the outcome of a read that got no usable reply. */
 const getUnavailable = (outcome: JsonOutcome): Unavailable =>
 	({kind: 'unavailable', reason: outcome.kind === 'answered' ? `status ${outcome.status}` : outcome.reason});
 
-/** Gets how a call with an effect failed: it may have taken effect unless the service says otherwise. */
+/** Returns the outcome of a failed call that changes state: `unknown`, unless it is certain that it was not applied. */
 const getFailure = (outcome: JsonOutcome): Failure => {
 	if (outcome.kind !== 'answered') {
 		return outcome;
 	}
 
-	return {kind: notApplied.has(outcome.status) ? 'unavailable' : 'unknown', reason: `status ${outcome.status}`};
+	return {kind: notAppliedStatuses.has(outcome.status) ? 'unavailable' : 'unknown', reason: `status ${outcome.status}`};
 };
 
-const readReply = <Reply>(outcome: JsonOutcome, status: number, schema: z.ZodType<Reply>): Reply | undefined =>
+/** Returns the reply's body if it has the expected status and shape; otherwise undefined. */
+const parseReply = <Reply>(outcome: JsonOutcome, status: number, schema: z.ZodType<Reply>): Reply | undefined =>
 	outcome.kind === 'answered' && outcome.status === status ? schema.safeParse(outcome.body).data : undefined;
 
-const isStatus = (outcome: JsonOutcome, status: number): boolean => outcome.kind === 'answered' && outcome.status === status;
+const hasStatus = (outcome: JsonOutcome, status: number): boolean => outcome.kind === 'answered' && outcome.status === status;
 
 const getWriteOutcome = (outcome: JsonOutcome): WriteOutcome => {
-	const applied = readReply(outcome, statuses.ok, revisionSchema);
+	const applied = parseReply(outcome, httpStatus.ok, revisionSchema);
 	if (applied !== undefined) {
 		return {kind: 'applied', revision: applied.revision};
 	}
 
-	const rejected = readReply(outcome, statuses.rejected, revisionSchema);
+	const rejected = parseReply(outcome, httpStatus.rejected, revisionSchema);
 	return rejected === undefined ? getFailure(outcome) : {kind: 'rejected', revision: rejected.revision};
 };
 
 const getLeaseOutcome = (outcome: JsonOutcome): LeaseOutcome => {
-	const held = readReply(outcome, statuses.ok, leaseSchema);
+	const held = parseReply(outcome, httpStatus.ok, leaseSchema);
 	if (held !== undefined) {
 		return {kind: 'held', ...held};
 	}
 
-	return isStatus(outcome, statuses.absent) ? {kind: 'lost'} : getFailure(outcome);
+	return hasStatus(outcome, httpStatus.absent) ? {kind: 'lost'} : getFailure(outcome);
 };
 
-const getPath = (key: string): string => `/v1/kv/${encodeURIComponent(key)}`;
+const getKeyPath = (key: string): string => `/v1/kv/${encodeURIComponent(key)}`;
 
-/** A key-value service behind HTTP. */
+/** Key-value service that is called over HTTP. */
 export type KeyValueClient = KeyValueService & {close: () => void};
 
 /** Creates a client of the key-value service. */
@@ -65,34 +67,34 @@
 	return {
 		close,
 		async read(key) {
-			const outcome = await call({method: 'GET', path: getPath(key)});
-			const entry = readReply(outcome, statuses.ok, entrySchema);
+			const outcome = await call({method: 'GET', path: getKeyPath(key)});
+			const entry = parseReply(outcome, httpStatus.ok, entrySchema);
 			if (entry !== undefined) {
 				return {kind: 'found', entry};
 			}
 
-			return isStatus(outcome, statuses.absent) ? {kind: 'absent'} : getUnavailable(outcome);
+			return hasStatus(outcome, httpStatus.absent) ? {kind: 'absent'} : getUnavailable(outcome);
 		},
 		async list(prefix) {
 			const outcome = await call({method: 'GET', path: `/v1/kv?prefix=${encodeURIComponent(prefix)}`});
-			const reply = readReply(outcome, statuses.ok, listSchema);
+			const reply = parseReply(outcome, httpStatus.ok, listSchema);
 			return reply === undefined ? getUnavailable(outcome) : {kind: 'found', entries: reply.entries};
 		},
 		async compareAndSwap({key, ...body}) {
-			return getWriteOutcome(await call({method: 'PUT', path: getPath(key), body}));
+			return getWriteOutcome(await call({method: 'PUT', path: getKeyPath(key), body}));
 		},
 		async remove(key, expected) {
-			return getWriteOutcome(await call({method: 'DELETE', path: `${getPath(key)}?expected=${expected}`}));
+			return getWriteOutcome(await call({method: 'DELETE', path: `${getKeyPath(key)}?expected=${expected}`}));
 		},
 		async watch(key, after, limit) {
 			const path = `/v1/watch/${encodeURIComponent(key)}?after=${after}&limit=${limit}`;
 			const outcome = await call({method: 'GET', path, extraTime: limit});
-			const entry = readReply(outcome, statuses.ok, entrySchema);
+			const entry = parseReply(outcome, httpStatus.ok, entrySchema);
 			if (entry !== undefined) {
 				return {kind: 'changed', entry};
 			}
 
-			return isStatus(outcome, statuses.empty) ? {kind: 'unchanged'} : getUnavailable(outcome);
+			return hasStatus(outcome, httpStatus.empty) ? {kind: 'unchanged'} : getUnavailable(outcome);
 		},
 		async grantLease(duration) {
 			return getLeaseOutcome(await call({method: 'POST', path: '/v1/leases', body: {duration}}));
@@ -102,7 +104,7 @@
 		},
 		async endLease(lease) {
 			const outcome = await call({method: 'DELETE', path: `/v1/leases/${encodeURIComponent(lease)}`});
-			const hasEnded = outcome.kind === 'answered' && !notApplied.has(outcome.status);
+			const hasEnded = outcome.kind === 'answered' && !notAppliedStatuses.has(outcome.status);
 			return hasEnded ? {kind: 'lost'} : getFailure(outcome);
 		},
 	};
--- a/packages/platform/src/memory-key-value.test.ts
+++ b/packages/platform/src/memory-key-value.test.ts
@@ -13,7 +13,7 @@
 	expect(await keyValue.compareAndSwap({key: 'a', value: '2', expected: 0})).toEqual({kind: 'rejected', revision: 1});
 });
 
-test('a lost reply takes effect now, a late write later', async () => {
+test('a write whose reply is lost is applied at once, a late write after a delay', async () => {
 	const {clock, keyValue} = createService();
 	keyValue.failWrites('lost-reply', 'late', 'dropped');
 	expect(await keyValue.compareAndSwap({key: 'a', value: '1', expected: 0})).toMatchObject({kind: 'unknown'});
@@ -24,7 +24,7 @@
 	expect(keyValue.peek('a')?.value).toBe('2');
 });
 
-test('an entry ends with its lease', async () => {
+test('an entry is removed when its lease expires', async () => {
 	const {clock, keyValue} = createService();
 	await keyValue.grantLease(100);
 	await keyValue.compareAndSwap({
--- a/packages/platform/src/memory-key-value.ts
+++ b/packages/platform/src/memory-key-value.ts
@@ -3,46 +3,48 @@
 	Entry, KeyValueService, LeaseOutcome, ListOutcome, Milliseconds, ReadOutcome, WatchOutcome, WriteOutcome,
 } from '@gentianlift/types';
 
-/** A fault of one write: its reply is lost, and it takes effect now, later or never; or it is refused. */
+/** Faults of a write. For the first three the caller gets no reply, and the write is applied at once, after a delay, or never; a refused write is known not to be applied. */
 export const writeFaults = ['lost-reply', 'late', 'dropped', 'refused'] as const;
-/** One of `writeFaults`. */
+/** Fault that is injected into a write. */
 export type WriteFault = typeof writeFaults[number];
 
-/** How the service misbehaves from now on. */
+/** Faults that are injected into calls until they are changed. */
 export type MemoryFaults = {
 	/** Every call fails as `unavailable`. */
 	outage: boolean;
-	/** Time that each reply takes. */
+	/** Delay of each reply. */
 	latency: Milliseconds;
-	/** Chance of each write fault, from 0 to 1. */
+	/** Probability of each write fault, from 0 to 1. */
 	chances: Record<WriteFault, number>;
-	/** Longest time after which a `late` write takes effect. */
+	/** Maximum delay after which a `late` write is applied. */
 	lateLimit: Milliseconds;
 };
 
-/** Number of calls of each kind since the start. */
+/** Number of calls of each kind since the service was created. */
 export type CallCounts = {reads: number; writes: number; lists: number; watches: number; leases: number};
 
-/** A write as the service saw it take effect. */
+/** Record of an applied write; the value of a removal is undefined. */
 export type AppliedWrite = {key: string; value: string | undefined; revision: number; at: Milliseconds};
 
-/** A key-value service in memory, for tests and measurements. */
+/** In-memory key-value service with fault injection, for tests and benchmarks. */
 export type MemoryKeyValue = KeyValueService & {
+	/** Changes the given faults and keeps the others. */
 	setFaults: (faults: Partial<MemoryFaults>) => void;
-	/** Gives the next writes these faults, in order. */
+	/** Injects these faults into the next writes, in order. */
 	failWrites: (...faults: WriteFault[]) => void;
-	/** Gets an entry without a call. */
+	/** Returns an entry without counting a call or injecting faults. */
 	peek: (key: string) => Entry | undefined;
+	/** Returns the number of calls of each kind. */
 	getCalls: () => CallCounts;
-	/** Every write that took effect, oldest first. */
+	/** Returns all applied writes, oldest first. */
 	getHistory: () => readonly AppliedWrite[];
 };
 
-/** What the service needs. */
-export type MemoryOptions = {clock: Clock; random: Random};
+/** Dependencies of the in-memory service. */
+export type MemoryKeyValueOptions = {clock: Clock; random: Random};
 
-type Stored = {entry: Entry; lease?: string};
-type Write = {key: string; value: string | undefined; expected: number; lease?: string};
+type StoredEntry = {entry: Entry; lease?: string};
+type WriteRequest = {key: string; value: string | undefined; expected: number; lease?: string};
 
 const noFaults: MemoryFaults = {
 	outage: false,
@@ -55,8 +57,8 @@
 const outageReason = 'outage';
 
 const createStore = (clock: Clock) => {
-	const entries = new Map<string, Stored>();
-	const leases = new Map<string, Milliseconds>();
+	const entries = new Map<string, StoredEntry>();
+	const leaseExpiries = new Map<string, Milliseconds>();
 	const history: AppliedWrite[] = [];
 	const watchers = new Set<() => void>();
 	let revision = 0;
@@ -80,7 +82,7 @@
 	};
 
 	const endLease = (lease: string): void => {
-		leases.delete(lease);
+		leaseExpiries.delete(lease);
 		const keys = [...entries].filter(([, stored]) => stored.lease === lease).map(([key]) => key);
 		for (const key of keys) {
 			put(key, undefined);
@@ -88,8 +90,8 @@
 	};
 
 	const expireLeases = (): void => {
-		const ended = [...leases].filter(([, end]) => end <= clock.monotonic()).map(([lease]) => lease);
-		for (const lease of ended) {
+		const expired = [...leaseExpiries].filter(([, expiresAt]) => expiresAt <= clock.monotonic()).map(([lease]) => lease);
+		for (const lease of expired) {
 			endLease(lease);
 		}
 	};
@@ -99,11 +101,11 @@
 		return entries.get(key)?.entry;
 	};
 
-	const apply = ({key, value, expected, lease}: Write): WriteOutcome => {
-		const found = get(key)?.revision ?? 0;
-		const isLeaseLost = lease !== undefined && !leases.has(lease);
-		if (found !== expected || isLeaseLost) {
-			return {kind: 'rejected', revision: found};
+	const apply = ({key, value, expected, lease}: WriteRequest): WriteOutcome => {
+		const currentRevision = get(key)?.revision ?? 0;
+		const isLeaseLost = lease !== undefined && !leaseExpiries.has(lease);
+		if (currentRevision !== expected || isLeaseLost) {
+			return {kind: 'rejected', revision: currentRevision};
 		}
 
 		return {kind: 'applied', revision: put(key, value, lease)};
@@ -115,20 +117,20 @@
 	};
 
 	return {
-		get, apply, list, leases, endLease, expireLeases, watchers, history,
+		get, apply, list, leases: leaseExpiries, endLease, expireLeases, watchers, history,
 	};
 };
 
 type Store = ReturnType<typeof createStore>;
 
-const watchStore = async (store: Store, clock: Clock, {key, after, limit}: {key: string; after: number; limit: Milliseconds}) =>
+const waitForChange = async (store: Store, clock: Clock, {key, after, limit}: {key: string; after: number; limit: Milliseconds}) =>
 	new Promise<WatchOutcome>(resolve => {
 		const getChange = (): Entry | undefined => {
 			const entry = store.get(key);
 			return entry !== undefined && entry.revision > after ? entry : undefined;
 		};
 
-		const end = (outcome: WatchOutcome): void => {
+		const finish = (outcome: WatchOutcome): void => {
 			store.watchers.delete(check);
 			cancel();
 			resolve(outcome);
@@ -137,21 +139,21 @@
 		const check = (): void => {
 			const entry = getChange();
 			if (entry !== undefined) {
-				end({kind: 'changed', entry});
+				finish({kind: 'changed', entry});
 			}
 		};
 
 		const cancel = clock.after(limit, () => {
-			end({kind: 'unchanged'});
+			finish({kind: 'unchanged'});
 		});
 		store.watchers.add(check);
 		check();
 	});
 
-const createLeaseCalls = (store: Store, clock: Clock) => {
+const createLeaseOperations = (store: Store, clock: Clock) => {
 	let sequence = 0;
 	const durations = new Map<string, Milliseconds>();
-	const hold = (lease: string, duration: Milliseconds): LeaseOutcome => {
+	const setExpiry = (lease: string, duration: Milliseconds): LeaseOutcome => {
 		store.leases.set(lease, clock.monotonic() + duration);
 		return {kind: 'held', lease, expiresIn: duration};
 	};
@@ -160,11 +162,11 @@
 		grant(duration: Milliseconds): LeaseOutcome {
 			const lease = `lease-${++sequence}`;
 			durations.set(lease, duration);
-			return hold(lease, duration);
+			return setExpiry(lease, duration);
 		},
 		renew(lease: string): LeaseOutcome {
 			store.expireLeases();
-			return store.leases.has(lease) ? hold(lease, durations.get(lease) ?? 0) : {kind: 'lost'};
+			return store.leases.has(lease) ? setExpiry(lease, durations.get(lease) ?? 0) : {kind: 'lost'};
 		},
 		end(lease: string): LeaseOutcome {
 			store.endLease(lease);
@@ -173,13 +175,13 @@
 	};
 };
 
-const createWriteCalls = (store: Store, {clock, random}: MemoryOptions, getFaults: () => MemoryFaults) => {
-	const planned: WriteFault[] = [];
-	const getFault = (): WriteFault | undefined =>
-		planned.shift() ?? writeFaults.find(fault => random.next() < getFaults().chances[fault]);
+const createWriteOperations = (store: Store, {clock, random}: MemoryKeyValueOptions, getFaults: () => MemoryFaults) => {
+	const plannedFaults: WriteFault[] = [];
+	const takeNextFault = (): WriteFault | undefined =>
+		plannedFaults.shift() ?? writeFaults.find(fault => random.next() < getFaults().chances[fault]);
 
-	const write = (change: Write): WriteOutcome => {
-		const fault = getFault();
+	const write = (change: WriteRequest): WriteOutcome => {
+		const fault = takeNextFault();
 		switch (fault) {
 			case undefined: {
 				return store.apply(change);
@@ -207,21 +209,21 @@
 		}
 	};
 
-	return {write, planned};
+	return {write, planned: plannedFaults};
 };
 
 /** Creates an empty key-value service without faults. */
-export const createMemoryKeyValue = (options: MemoryOptions): MemoryKeyValue => {
+export const createMemoryKeyValue = (options: MemoryKeyValueOptions): MemoryKeyValue => {
 	const {clock} = options;
 	let faults = noFaults;
 	const calls: CallCounts = {
 		reads: 0, writes: 0, lists: 0, watches: 0, leases: 0,
 	};
 	const store = createStore(clock);
-	const leaseCalls = createLeaseCalls(store, clock);
-	const {write, planned} = createWriteCalls(store, options, () => faults);
+	const leaseOperations = createLeaseOperations(store, clock);
+	const {write, planned: plannedFaults} = createWriteOperations(store, options, () => faults);
 
-	const answer = async <Outcome>(kind: keyof CallCounts, run: () => Outcome): Promise<Outcome | {kind: 'unavailable'; reason: string}> => {
+	const simulateCall = async <Outcome>(kind: keyof CallCounts, run: () => Outcome): Promise<Outcome | {kind: 'unavailable'; reason: string}> => {
 		calls[kind]++;
 		const outcome = faults.outage ? {kind: 'unavailable' as const, reason: outageReason} : run();
 		if (faults.latency > 0) {
@@ -237,22 +239,22 @@
 	};
 
 	return {
-		read: async key => answer('reads', () => read(key)),
-		list: async prefix => answer('lists', (): ListOutcome => ({kind: 'found', entries: store.list(prefix)})),
-		compareAndSwap: async change => answer('writes', () => write(change)),
-		remove: async (key, expected) => answer('writes', () => write({key, value: undefined, expected})),
+		read: async key => simulateCall('reads', () => read(key)),
+		list: async prefix => simulateCall('lists', (): ListOutcome => ({kind: 'found', entries: store.list(prefix)})),
+		compareAndSwap: async change => simulateCall('writes', () => write(change)),
+		remove: async (key, expected) => simulateCall('writes', () => write({key, value: undefined, expected})),
 		async watch(key, after, limit) {
-			const outcome = await answer('watches', () => undefined);
-			return outcome ?? watchStore(store, clock, {key, after, limit});
+			const outcome = await simulateCall('watches', () => undefined);
+			return outcome ?? waitForChange(store, clock, {key, after, limit});
 		},
-		grantLease: async duration => answer('leases', () => leaseCalls.grant(duration)),
-		renewLease: async lease => answer('leases', () => leaseCalls.renew(lease)),
-		endLease: async lease => answer('leases', () => leaseCalls.end(lease)),
+		grantLease: async duration => simulateCall('leases', () => leaseOperations.grant(duration)),
+		renewLease: async lease => simulateCall('leases', () => leaseOperations.renew(lease)),
+		endLease: async lease => simulateCall('leases', () => leaseOperations.end(lease)),
 		setFaults(changes) {
 			faults = {...faults, ...changes};
 		},
 		failWrites(...next) {
-			planned.push(...next);
+			plannedFaults.push(...next);
 		},
 		peek: key => store.get(key),
 		getCalls: () => ({...calls}),
--- a/packages/platform/src/weight-store-client.ts
+++ b/packages/platform/src/weight-store-client.ts
@@ -4,7 +4,7 @@
 
 const rateSchema = z.object({bytesPerSecond: z.number(), bytesUnderWay: z.number()});
 
-/** The weight store behind HTTP. */
+/** Weight store that is called over HTTP. */
 export type WeightStoreClient = WeightStore & {close: () => void};
 
 /** Creates a client of the weight store. */
