--- a/packages/fakes/src/engine/answer-stream.ts
+++ b/packages/fakes/src/engine/answer-stream.ts
@@ -2,62 +2,63 @@
 import type {ServerResponse} from 'node:http';
 import {getAnswerText, getToken, type Answer} from './answer.js';
 
-/** Writes an answer as it is generated. */
+/** Writer of an answer as it is generated. */
 export type AnswerStream = {
 	writeToken: (index: number) => void;
 	writeEnd: () => void;
+	/** Whether the receiver keeps up; false pauses the generation. */
 	canSend: () => boolean;
 };
 
-/** What an answer's writer has to know. */
-export type StreamOptions = {
+/** Options of an answer's writer. */
+export type AnswerStreamOptions = {
 	id: string;
 	model: string;
 	answer: Answer;
-	/** Tokens of an earlier part that the caller has. */
-	from: number;
+	/** Tokens that the caller already received from an earlier attempt; not sent again. */
+	resumedTokens: number;
 	cachedTokens: number;
 	response: ServerResponse;
 };
 
-/** Bytes that may wait for a slow receiver before its generation pauses. */
-const highWaterMark = 65_536;
-const separator = '\n\n';
-const finalEvent = `data: [DONE]${separator}`;
+/** Buffered output at which a generation is paused until its receiver catches up. */
+const maxBufferedBytes = 65_536;
+const eventSeparator = '\n\n';
+const finalEvent = `data: [DONE]${eventSeparator}`;
 
-const getUsage = ({answer, cachedTokens}: StreamOptions) => ({
+const getUsage = ({answer, cachedTokens}: AnswerStreamOptions) => ({
 	prompt_tokens: answer.promptTokens,
 	completion_tokens: answer.length,
 	total_tokens: answer.promptTokens + answer.length,
 	prompt_tokens_details: {cached_tokens: cachedTokens},
 });
 
-const createEventStream = (options: StreamOptions): AnswerStream => {
+const createEventStream = (options: AnswerStreamOptions): AnswerStream => {
 	const {response, answer, id, model} = options;
-	const head = `data: {"id":${JSON.stringify(id)},"object":"chat.completion.chunk","created":0,"model":${JSON.stringify(model)},"choices":[{"index":0,"delta":{"content":"`;
-	const tail = `"},"finish_reason":null}]}${separator}`;
+	const chunkHead = `data: {"id":${JSON.stringify(id)},"object":"chat.completion.chunk","created":0,"model":${JSON.stringify(model)},"choices":[{"index":0,"delta":{"content":"`;
+	const chunkTail = `"},"finish_reason":null}]}${eventSeparator}`;
 	response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-cache', 'x-ran': 'ran'});
 	response.flushHeaders();
 	return {
 		writeToken(index) {
-			response.write(head + getToken(answer, index) + tail);
+			response.write(chunkHead + getToken(answer, index) + chunkTail);
 		},
 		writeEnd() {
 			const choice = {index: 0, delta: {}, finish_reason: answer.finishReason};
-			const last = {
+			const lastChunk = {
 				id, object: 'chat.completion.chunk', created: 0, model, choices: [choice], usage: getUsage(options),
 			};
-			response.end(`data: ${JSON.stringify(last)}${separator}${finalEvent}`);
+			response.end(`data: ${JSON.stringify(lastChunk)}${eventSeparator}${finalEvent}`);
 		},
-		canSend: () => response.writableLength < highWaterMark,
+		canSend: () => response.writableLength < maxBufferedBytes,
 	};
 };
 
-const createWholeAnswer = (options: StreamOptions): AnswerStream => ({
+const createJsonAnswer = (options: AnswerStreamOptions): AnswerStream => ({
 	writeToken: () => undefined,
 	writeEnd() {
-		const {response, answer, id, model, from} = options;
-		const content = getAnswerText(answer, answer.length).slice(getAnswerText(answer, from).length);
+		const {response, answer, id, model, resumedTokens} = options;
+		const content = getAnswerText(answer, answer.length).slice(getAnswerText(answer, resumedTokens).length);
 		const choice = {index: 0, message: {role: 'assistant', content}, finish_reason: answer.finishReason};
 		const body = JSON.stringify({
 			id, object: 'chat.completion', created: 0, model, choices: [choice], usage: getUsage(options),
@@ -68,6 +69,6 @@
 	canSend: () => true,
 });
 
-/** Creates the writer of an answer: an event stream, or one JSON body. */
-export const createAnswerStream = (options: StreamOptions & {stream: boolean}): AnswerStream =>
-	options.stream ? createEventStream(options) : createWholeAnswer(options);
+/** Creates the writer of an answer, either as an event stream or as a single JSON body. */
+export const createAnswerStream = (options: AnswerStreamOptions & {stream: boolean}): AnswerStream =>
+	options.stream ? createEventStream(options) : createJsonAnswer(options);
--- a/packages/fakes/src/engine/batch.ts
+++ b/packages/fakes/src/engine/batch.ts
@@ -1,132 +1,145 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {Clock} from '@gentianlift/clock';
 
-/** A generation in an engine's queue or batch. */
+/** A generation in an engine's queue or in its running batch. */
 export type Generation = {
 	id: string;
 	/** 0 is the most urgent. */
 	priority: number;
-	order: number;
-	/** Prompt tokens that are not cached. */
+	/** Order of arrival, within a priority. */
+	sequence: number;
+	/** Tokens to prefill: uncached prompt tokens and those of a resumed answer. */
 	prefillTokens: number;
-	/** Tokens of KV cache that the generation takes at its end. */
+	/** KV cache that the generation reserves, in tokens: its prompt and its whole answer. */
 	cacheTokens: number;
-	/** Tokens sent so far, with those of a resumed answer. */
-	index: number;
+	/** Index of the next token; a resumed answer starts after the tokens that the caller has. */
+	nextIndex: number;
 	length: number;
-	/** Moment on the monotonic clock at which the prefill ends. */
-	readyAt: Milliseconds;
-	/** False while the receiver can't take more. */
+	/** Monotonic time at which the prefill ends; set when the generation is admitted. */
+	prefillEndsAt: Milliseconds;
+	/** Whether the receiver keeps up; false pauses the generation. */
 	canSend: () => boolean;
 	onStart: () => void;
 	onToken: (index: number) => void;
 	onEnd: () => void;
 };
 
-/** Speeds and limits of a batch, in milliseconds of the fake's own time. */
+/** Speeds and limits of a batch. Times are in simulated milliseconds, which `timeFactor` scales. */
 export type BatchOptions = {
+	/** Maximum number of running generations. */
 	slots: number;
+	/** Base time of a step. */
 	stepTime: Milliseconds;
+	/** Additional time of a step for each running generation. */
 	stepTimePerRunning: Milliseconds;
 	prefillTokensPerSecond: number;
+	/** Capacity of the KV cache, in tokens. */
 	cacheTokens: number;
-	/** Speed of the fake's time against the clock's. */
+	/** Factor by which simulated time runs faster than the clock. */
 	timeFactor: number;
 	clock: Clock;
+	/** Returns the factor by which prefill and steps are slowed down. */
 	getSlowFactor: () => number;
 };
 
-/** Continuous batch: one token a step for each running generation. */
+/** Continuous batching: each step generates one token for every running generation whose prefill has ended. */
 export type Batch = {
 	add: (generation: Generation) => void;
 	remove: (generation: Generation) => void;
+	/** Removes and returns all generations. */
 	clear: () => Generation[];
+	/** Generates nothing for `duration`. */
 	stall: (duration: Milliseconds) => void;
-	getRunning: () => number;
-	getWaiting: () => number;
-	/** Part of the KV cache that running generations take. */
+	countRunning: () => number;
+	countWaiting: () => number;
+	/** Returns the fraction of the KV cache that running generations use. */
 	getCacheUse: () => number;
 	close: () => void;
 };
 
 const millisecondsPerSecond = 1000;
-const shortestTick: Milliseconds = 1;
-const longestCatchUp: Milliseconds = 50;
+const minTickDelay: Milliseconds = 1;
+/** Maximum backlog of steps that is caught up after a delayed tick. */
+const maxCatchUp: Milliseconds = 50;
 
+/** Whether a generation is admitted before another: by priority, then in order of arrival. */
 const isBefore = (left: Generation, right: Generation): boolean =>
-	left.priority < right.priority || (left.priority === right.priority && left.order < right.order);
+	left.priority < right.priority || (left.priority === right.priority && left.sequence < right.sequence);
 
 /** Creates an empty batch. */
 export const createBatch = (options: BatchOptions): Batch => {
 	const {clock} = options;
-	const waiting: Generation[] = [];
+	const queue: Generation[] = [];
 	const running = new Set<Generation>();
 	let prefillFreeAt: Milliseconds = 0;
 	let nextStepAt: Milliseconds = 0;
-	let takenTokens = 0;
+	let usedCacheTokens = 0;
 	let cancelTick: (() => void) | undefined;
 
 	const getStepTime = (): Milliseconds =>
 		(options.stepTime + (options.stepTimePerRunning * running.size)) * options.getSlowFactor() / options.timeFactor;
 
+	/** Moves a generation into the running batch; prefills run one after another. */
 	const start = (generation: Generation): void => {
-		const rate = options.prefillTokensPerSecond * options.timeFactor / options.getSlowFactor();
-		const from = Math.max(clock.monotonic(), prefillFreeAt);
-		generation.readyAt = from + (generation.prefillTokens / rate * millisecondsPerSecond);
-		prefillFreeAt = generation.readyAt;
-		takenTokens += generation.cacheTokens;
+		const prefillRate = options.prefillTokensPerSecond * options.timeFactor / options.getSlowFactor();
+		const prefillStartsAt = Math.max(clock.monotonic(), prefillFreeAt);
+		generation.prefillEndsAt = prefillStartsAt + (generation.prefillTokens / prefillRate * millisecondsPerSecond);
+		prefillFreeAt = generation.prefillEndsAt;
+		usedCacheTokens += generation.cacheTokens;
 		running.add(generation);
 		generation.onStart();
 	};
 
-	const drop = (generation: Generation): void => {
+	const release = (generation: Generation): void => {
 		if (running.delete(generation)) {
-			takenTokens -= generation.cacheTokens;
+			usedCacheTokens -= generation.cacheTokens;
 		}
 	};
 
-	const fits = (generation: Generation): boolean =>
-		running.size === 0 || (running.size < options.slots && takenTokens + generation.cacheTokens <= options.cacheTokens);
+	/** Whether slots and KV cache suffice; an empty batch admits a generation of any size, so that none waits forever. */
+	const canAdmit = (generation: Generation): boolean =>
+		running.size === 0 || (running.size < options.slots && usedCacheTokens + generation.cacheTokens <= options.cacheTokens);
 
-	const admit = (): void => {
-		for (let next = waiting[0]; next !== undefined && fits(next); next = waiting[0]) {
-			waiting.shift();
+	/** Admits from the head of the queue; a generation that doesn't fit blocks those behind it. */
+	const admitQueued = (): void => {
+		for (let next = queue[0]; next !== undefined && canAdmit(next); next = queue[0]) {
+			queue.shift();
 			start(next);
 		}
 	};
 
-	const step = (at: Milliseconds): void => {
+	const step = (stepAt: Milliseconds): void => {
 		for (const generation of running) {
-			if (generation.readyAt > at || !generation.canSend()) {
+			if (generation.prefillEndsAt > stepAt || !generation.canSend()) {
 				continue;
 			}
 
-			generation.onToken(generation.index);
-			generation.index++;
-			if (generation.index >= generation.length) {
-				drop(generation);
+			generation.onToken(generation.nextIndex);
+			generation.nextIndex++;
+			if (generation.nextIndex >= generation.length) {
+				release(generation);
 				generation.onEnd();
 			}
 		}
 
-		admit();
+		admitQueued();
 	};
 
 	const tick = (): void => {
 		cancelTick = undefined;
 		const now = clock.monotonic();
-		nextStepAt = Math.max(nextStepAt, now - longestCatchUp);
+		nextStepAt = Math.max(nextStepAt, now - maxCatchUp);
 		while (running.size > 0 && nextStepAt <= now) {
 			step(nextStepAt);
 			nextStepAt += getStepTime();
 		}
 
-		schedule();
+		scheduleTick();
 	};
 
-	const schedule = (): void => {
+	const scheduleTick = (): void => {
 		if (cancelTick === undefined && running.size > 0) {
-			cancelTick = clock.after(Math.max(shortestTick, nextStepAt - clock.monotonic()), tick);
+			cancelTick = clock.after(Math.max(minTickDelay, nextStepAt - clock.monotonic()), tick);
 		}
 	};
 
@@ -136,35 +149,35 @@
 				nextStepAt = Math.max(nextStepAt, clock.monotonic() + getStepTime());
 			}
 
-			const place = waiting.findIndex(other => isBefore(generation, other));
-			waiting.splice(place === -1 ? waiting.length : place, 0, generation);
-			admit();
-			schedule();
+			const position = queue.findIndex(other => isBefore(generation, other));
+			queue.splice(position === -1 ? queue.length : position, 0, generation);
+			admitQueued();
+			scheduleTick();
 		},
 		remove(generation) {
-			drop(generation);
-			const place = waiting.indexOf(generation);
-			if (place !== -1) {
-				waiting.splice(place, 1);
+			release(generation);
+			const position = queue.indexOf(generation);
+			if (position !== -1) {
+				queue.splice(position, 1);
 			}
 
-			admit();
-			schedule();
+			admitQueued();
+			scheduleTick();
 		},
 		clear() {
-			const all = [...running, ...waiting];
+			const removed = [...running, ...queue];
 			running.clear();
-			waiting.length = 0;
-			takenTokens = 0;
+			queue.length = 0;
+			usedCacheTokens = 0;
 			prefillFreeAt = 0;
-			return all;
+			return removed;
 		},
 		stall(duration) {
 			nextStepAt = clock.monotonic() + duration;
 		},
-		getRunning: () => running.size,
-		getWaiting: () => waiting.length,
-		getCacheUse: () => Math.min(1, takenTokens / options.cacheTokens),
+		countRunning: () => running.size,
+		countWaiting: () => queue.length,
+		getCacheUse: () => Math.min(1, usedCacheTokens / options.cacheTokens),
 		close() {
 			cancelTick?.();
 		},
--- /dev/null
+++ b/packages/fakes/src/engine/delayed-load-reports.ts
@@ -0,0 +1,27 @@
+import type {LoadReport, Milliseconds} from '@gentianlift/types';
+import type {Clock} from '@gentianlift/clock';
+
+/** Periodic load reports that are published with a delay. */
+export type DelayedLoadReports = {
+	/** Returns the latest published report. */
+	read: () => LoadReport;
+	close: () => void;
+};
+
+const sampleInterval: Milliseconds = 100;
+
+/** Samples `getReport` at a fixed interval and publishes each report after `delay`. */
+export const createDelayedLoadReports = (clock: Clock, delay: Milliseconds, getReport: () => LoadReport): DelayedLoadReports => {
+	const {every} = clock;
+	const pendingReports: LoadReport[] = [getReport()];
+	const close = every(sampleInterval, () => {
+		pendingReports.push(getReport());
+		while (pendingReports.length > 1 && (pendingReports[1]?.at ?? 0) <= clock.now() - delay) {
+			pendingReports.shift();
+		}
+	});
+	return {
+		read: () => pendingReports[0] ?? getReport(),
+		close,
+	};
+};
--- a/packages/fakes/src/engine/engine.ts
+++ b/packages/fakes/src/engine/engine.ts
@@ -4,13 +4,13 @@
 } from '../listener.js';
 import {createFaultControl, type Faults} from '../faults.js';
 import {createBatch} from './batch.js';
-import {createPrefixCache} from './cache.js';
+import {createPrefixCache} from './prefix-cache.js';
 import {createGenerations} from './generations.js';
-import {createReports} from './load.js';
+import {createDelayedLoadReports} from './delayed-load-reports.js';
 import {createEngineRandom, getEngineSettings, type EngineOptions} from './options.js';
 import {createOrders} from './orders.js';
 
-/** A running fake engine. */
+/** Running fake of a model engine. */
 export type FakeEngine = {
 	listener: Listener;
 	faults: Faults;
@@ -18,18 +18,18 @@
 	close: () => Promise<void>;
 };
 
-/** What `GET /fake/state` of an engine tells. */
-export type EngineState = ReturnType<ReturnType<typeof createEngineParts>['getState']>;
+/** Body of an engine's answer to `GET /fake/state`. */
+export type EngineState = ReturnType<ReturnType<typeof createEngineComponents>['getState']>;
 
-const defaultRestart: Milliseconds = 2000;
+const defaultRestartDelay: Milliseconds = 2000;
 
-const createEngineParts = (options: EngineOptions, faults: Faults) => {
+const createEngineComponents = (options: EngineOptions, faults: Faults) => {
 	const settings = getEngineSettings(options);
 	const random = createEngineRandom(settings);
 	const {clock} = settings;
 	const batch = createBatch({...settings, getSlowFactor: () => faults.slowFactor ?? 1});
 	const cache = createPrefixCache({
-		chunks: settings.cacheChunks, eventLag: settings.eventLag, eventLoss: settings.eventLoss, clock, random,
+		maxChunks: settings.cacheChunks, eventDelay: settings.eventDelay, eventLossProbability: settings.eventLoss, clock, random,
 	});
 	const orders = createOrders(settings);
 	const generations = createGenerations({
@@ -37,8 +37,8 @@
 	});
 	const getReport = (): LoadReport => ({
 		at: clock.now(),
-		running: batch.getRunning(),
-		waiting: batch.getWaiting(),
+		running: batch.countRunning(),
+		waiting: batch.countWaiting(),
 		cacheUse: batch.getCacheUse(),
 		tokensPerSecond: generations.getTokensPerSecond(),
 		models: [...orders.holdings.models],
@@ -46,11 +46,11 @@
 		role: orders.holdings.role,
 		leaving: faults.leaving ?? false,
 	});
-	const reports = createReports(clock, settings.reportLag, getReport);
+	const reports = createDelayedLoadReports(clock, settings.reportLag, getReport);
 	const getState = () => ({
 		...generations.getCounts(),
-		running: batch.getRunning(),
-		waiting: batch.getWaiting(),
+		running: batch.countRunning(),
+		waiting: batch.countWaiting(),
 		cachedChunks: cache.getSize(),
 		holdings: {models: [...orders.holdings.models], adapters: [...orders.holdings.adapters], role: orders.holdings.role},
 		orders: orders.records,
@@ -61,9 +61,10 @@
 	};
 };
 
-type EngineParts = ReturnType<typeof createEngineParts>;
+type EngineComponents = ReturnType<typeof createEngineComponents>;
 
-const handleCache = async ({request, response, url}: Exchange, {cache}: EngineParts): Promise<void> => {
+/** Handles the export and import of a cached chunk. Chunks carry no data: an export only confirms that the chunk is cached. */
+const handleCacheTransfer = async ({request, response, url}: Exchange, {cache}: EngineComponents): Promise<void> => {
 	const {chunk} = await readJson(request) as {chunk: string};
 	if (url.pathname.endsWith('/import')) {
 		cache.store([chunk]);
@@ -74,33 +75,33 @@
 	sendJson(response, cache.has(chunk) ? 200 : 404, {chunk});
 };
 
-const handleEngine = async (exchange: Exchange, parts: EngineParts): Promise<void> => {
+const routeRequest = async (exchange: Exchange, components: EngineComponents): Promise<void> => {
 	const {request, response, url, method} = exchange;
 	switch (`${method} ${url.pathname}`) {
 		case 'POST /v1/chat/completions': {
-			await parts.generations.start(exchange);
+			await components.generations.start(exchange);
 			return;
 		}
 
 		case 'GET /v1/load': {
-			sendJson(response, 200, parts.reports.read());
+			sendJson(response, 200, components.reports.read());
 			return;
 		}
 
 		case 'GET /v1/cache-events': {
-			sendJson(response, 200, parts.cache.readEvents(Number(url.searchParams.get('after') ?? 0)));
+			sendJson(response, 200, components.cache.readEvents(Number(url.searchParams.get('after') ?? 0)));
 			return;
 		}
 
 		case 'POST /v1/orders': {
-			const {status, body} = await parts.orders.apply(await readJson(request) as FencedOrder);
+			const {status, body} = await components.orders.apply(await readJson(request) as FencedOrder);
 			sendJson(response, status, body);
 			return;
 		}
 
 		case 'POST /v1/cache/export':
 		case 'POST /v1/cache/import': {
-			await handleCache(exchange, parts);
+			await handleCacheTransfer(exchange, components);
 			return;
 		}
 
@@ -110,15 +111,16 @@
 		}
 
 		default: {
-			handleOther(exchange, parts);
+			handleOther(exchange, components);
 		}
 	}
 };
 
-const handleOther = ({response, url, method}: Exchange, {generations}: EngineParts): void => {
-	const path = '/v1/generations/';
-	if (method === 'DELETE' && url.pathname.startsWith(path)) {
-		const id = decodeURIComponent(url.pathname.slice(path.length));
+/** Handles the cancellation of a generation, whose path contains its id; other paths aren't found. */
+const handleOther = ({response, url, method}: Exchange, {generations}: EngineComponents): void => {
+	const generationsPath = '/v1/generations/';
+	if (method === 'DELETE' && url.pathname.startsWith(generationsPath)) {
+		const id = decodeURIComponent(url.pathname.slice(generationsPath.length));
 		sendEmpty(response, generations.cancel(id) ? 204 : 404);
 		return;
 	}
@@ -126,17 +128,17 @@
 	sendJson(response, 404, {error: {code: 'not-found'}});
 };
 
-/** Starts a fake model engine on a loopback port. */
+/** Starts a fake model engine. */
 export const createEngine = async (options: EngineOptions = {}): Promise<FakeEngine> => {
 	const faults: Faults = {};
-	const parts = createEngineParts(options, faults);
-	const {settings} = parts;
+	const components = createEngineComponents(options, faults);
+	const {settings} = components;
 
 	const crash = async (): Promise<void> => {
-		parts.generations.abandon();
-		parts.cache.clear();
+		components.generations.abortAll();
+		components.cache.clear();
 		await listener.crash();
-		const delay = faults.restartAfterMs ?? defaultRestart;
+		const delay = faults.restartAfterMs ?? defaultRestartDelay;
 		if (delay > 0) {
 			settings.clock.after(delay, () => {
 				void listener.restart();
@@ -146,11 +148,11 @@
 
 	const onChange = async (change: Faults): Promise<void> => {
 		if (change.stallMs !== undefined) {
-			parts.batch.stall(change.stallMs);
+			components.batch.stall(change.stallMs);
 		}
 
 		if (change.silent !== undefined) {
-			parts.generations.silence();
+			components.generations.silenceAll();
 		}
 
 		if (change.crash === true) {
@@ -160,23 +162,23 @@
 	};
 
 	const control = createFaultControl({
-		faults, clock: settings.clock, random: parts.random, getState: parts.getState, onChange,
+		faults, clock: settings.clock, random: components.random, getState: components.getState, onChange,
 	});
-	parts.generations.onCrash(crash);
+	components.generations.setCrashHandler(crash);
 	const listener = await createListener(options, async exchange => {
-		if (await control.handleControl(exchange) || await control.applyFaults(exchange) !== 'serve') {
+		if (await control.handleControlRequest(exchange) || await control.applyFaults(exchange) !== 'serve') {
 			return;
 		}
 
-		await handleEngine(exchange, parts);
+		await routeRequest(exchange, components);
 	});
 	return {
 		listener,
 		faults,
-		getState: parts.getState,
+		getState: components.getState,
 		async close() {
-			parts.reports.close();
-			parts.batch.close();
+			components.reports.close();
+			components.batch.close();
 			await listener.crash();
 		},
 	};
--- a/packages/fakes/src/engine/options.ts
+++ b/packages/fakes/src/engine/options.ts
@@ -1,42 +1,46 @@
 import type {EngineRole, Milliseconds, ModelName} from '@gentianlift/types';
 import {createRandom, createSystemClock, type Clock} from '@gentianlift/clock';
-import type {Place} from '../listener.js';
+import type {ListenOptions} from '../listener.js';
 
 /** Settings of a model engine. */
 export type EngineSettings = {
 	models: ModelName[];
 	adapters: ModelName[];
 	role: EngineRole;
+	/** Maximum number of concurrent generations. */
 	slots: number;
-	/** Time of one output token in an empty batch. */
+	/** Base time of a step, which generates one token of each running generation. */
 	stepTime: Milliseconds;
-	/** Time that each running generation adds to a step. */
+	/** Additional time of a step for each running generation. */
 	stepTimePerRunning: Milliseconds;
 	prefillTokensPerSecond: number;
-	/** Mean length of an answer whose prompt doesn't set it. */
+	/** Mean length of answers whose prompt doesn't set it. */
 	meanTokens: number;
-	/** KV cache for running generations, in tokens. */
+	/** Capacity of the KV cache for running generations, in tokens. */
 	cacheTokens: number;
-	/** Prefix cache, in chunks. */
+	/** Capacity of the prefix cache, in chunks. */
 	cacheChunks: number;
+	/** Delay until a load report is visible. */
 	reportLag: Milliseconds;
-	eventLag: Milliseconds;
+	/** Delay until a cache event is visible. */
+	eventDelay: Milliseconds;
+	/** Probability that a cache event is lost, from 0 to 1. */
 	eventLoss: number;
-	/** Whether orders with an old fencing number are refused. */
+	/** Whether orders with a stale fencing number are rejected. */
 	fencing: 'checked' | 'ignored';
 	weightStoreUrl: string | undefined;
-	/** Bytes of each model and adapter. */
+	/** Size of the weights of each model and adapter, in bytes. */
 	bytes: Record<ModelName, number>;
-	/** Speed of the engine's time against the clock's. */
+	/** Factor by which the engine's simulated time runs faster than the clock. */
 	timeFactor: number;
 	seed: number;
 	clock: Clock;
 };
 
-/** Options of `createEngine`; absent ones take the defaults. */
-export type EngineOptions = Partial<EngineSettings> & Place;
+/** Options of a fake engine; absent settings take their defaults. */
+export type EngineOptions = Partial<EngineSettings> & ListenOptions;
 
-/** Gets the settings with defaults for what the options leave out. */
+/** Returns the settings, with defaults for absent options. */
 export const getEngineSettings = (options: EngineOptions): EngineSettings => ({
 	models: ['chat'],
 	adapters: [],
@@ -49,7 +53,7 @@
 	cacheTokens: 200_000,
 	cacheChunks: 2000,
 	reportLag: 500,
-	eventLag: 300,
+	eventDelay: 300,
 	eventLoss: 0.05,
 	fencing: 'checked',
 	weightStoreUrl: undefined,
@@ -60,5 +64,5 @@
 	...options,
 });
 
-/** Creates the engine's source of random numbers. */
+/** Creates the engine's random number generator. */
 export const createEngineRandom = (settings: EngineSettings) => createRandom(settings.seed);
--- a/packages/fakes/src/engine/orders.ts
+++ b/packages/fakes/src/engine/orders.ts
@@ -3,27 +3,29 @@
 } from '@gentianlift/types';
 import type {EngineSettings} from './options.js';
 
-/** What an engine holds, as orders change it. */
+/** Loaded models and adapters and the role of an engine, which orders change. */
 export type Holdings = {
 	models: Set<ModelName>;
 	adapters: Set<ModelName>;
 	role: EngineRole;
 };
 
-/** An order that reached an engine and what became of it. */
+/** Record of a received order and whether it was accepted. */
 export type OrderRecord = FencedOrder & {accepted: boolean};
 
-/** Answer of an engine to an order. */
+/** Response of an engine to an order. */
 export type OrderAnswer = {status: number; body: unknown};
 
-/** Carries out orders. */
+/** Executes the placement orders that an engine receives. */
 export type Orders = {
 	holdings: Holdings;
 	records: OrderRecord[];
+	/** Executes an order once per id; rejects it if its fencing number is lower than one seen before, unless fencing numbers are ignored. */
 	apply: (order: FencedOrder) => Promise<OrderAnswer>;
 };
 
-const loadBytes = async (url: string | undefined, bytes: number): Promise<boolean> => {
+/** Loads weights from the weight store; returns whether it succeeded. Without a store, loading takes no time. */
+const loadWeights = async (url: string | undefined, bytes: number): Promise<boolean> => {
 	if (url === undefined) {
 		return true;
 	}
@@ -32,20 +34,20 @@
 	return answer.ok;
 };
 
-const defaultBytes = 1e9;
+const defaultWeightBytes = 1e9;
 
-/** Creates the part of an engine that takes orders. */
+/** Creates the component of an engine that executes orders. */
 export const createOrders = (settings: EngineSettings): Orders => {
 	const holdings: Holdings = {models: new Set(settings.models), adapters: new Set(settings.adapters), role: settings.role};
 	const records: OrderRecord[] = [];
-	const known = new Set<string>();
-	let highest = 0;
-	const getBytes = (name: ModelName): number => settings.bytes[name] ?? defaultBytes;
+	const knownOrderIds = new Set<string>();
+	let highestFencingNumber = 0;
+	const getWeightBytes = (name: ModelName): number => settings.bytes[name] ?? defaultWeightBytes;
 
-	const carryOut = async (order: EngineOrder): Promise<void> => {
+	const executeOrder = async (order: EngineOrder): Promise<void> => {
 		switch (order.kind) {
 			case 'load': {
-				if (await loadBytes(settings.weightStoreUrl, getBytes(order.model))) {
+				if (await loadWeights(settings.weightStoreUrl, getWeightBytes(order.model))) {
 					holdings.models.add(order.model);
 				}
 
@@ -58,7 +60,7 @@
 			}
 
 			case 'load-adapter': {
-				if (await loadBytes(settings.weightStoreUrl, getBytes(order.adapter))) {
+				if (await loadWeights(settings.weightStoreUrl, getWeightBytes(order.adapter))) {
 					holdings.adapters.add(order.adapter);
 				}
 
@@ -80,16 +82,16 @@
 		holdings,
 		records,
 		async apply(order) {
-			const accepted = settings.fencing === 'ignored' || order.fencingNumber >= highest;
+			const accepted = settings.fencing === 'ignored' || order.fencingNumber >= highestFencingNumber;
 			records.push({...order, accepted});
 			if (!accepted) {
-				return {status: 409, body: {highest}};
+				return {status: 409, body: {highest: highestFencingNumber}};
 			}
 
-			highest = Math.max(highest, order.fencingNumber);
-			if (!known.has(order.id)) {
-				known.add(order.id);
-				void carryOut(order.order);
+			highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber);
+			if (!knownOrderIds.has(order.id)) {
+				knownOrderIds.add(order.id);
+				void executeOrder(order.order);
 			}
 
 			return {status: 200, body: {accepted: true}};
--- a/packages/fakes/src/faults.ts
+++ b/packages/fakes/src/faults.ts
@@ -2,75 +2,79 @@
 import type {Clock, Random} from '@gentianlift/clock';
 import {readJson, sendJson, type Exchange} from './listener.js';
 
-/** Faults that a fake shows on request; an absent one is off. Shares go from 0 to 1. */
+/** Faults that are injected into a fake through its control endpoint; absent ones are off. */
 export type Faults = {
-	/** Ends all connections and refuses new ones until the restart. */
+	/** Resets all connections and refuses new ones until the restart. */
 	crash?: boolean;
-	/** Time from a crash to the restart; 0 stays down. */
+	/** Delay from a crash to the restart; 0 means no restart. */
 	restartAfterMs?: Milliseconds;
-	/** Crashes the engine as soon as it runs a prompt that contains this text. */
+	/** Crashes the engine when it generates the first token for a prompt that contains this text. */
 	crashOnPrompt?: string;
-	/** Produces nothing for this long, once. */
+	/** Delays all output for this long: an engine's once, when it is set; an application service's on every call. */
 	stallMs?: Milliseconds;
-	/** `open` silences the connections under way for good, `all` also new ones. */
+	/** Sends no more answers while keeping connections open: `open` for requests in flight, `all` for new ones too. */
 	silent?: 'open' | 'all';
+	/** Factor by which generations and calls are slowed down. */
 	slowFactor?: number;
-	/** Refuses new work as busy. */
+	/** Rejects new requests with the code `busy`. */
 	refuse?: boolean;
-	/** Refuses new work as leaving. */
+	/** Rejects new requests with the code `leaving`. */
 	leaving?: boolean;
-	/** Share of calls that are carried out without an answer. */
+	/** Probability, from 0 to 1, that a call is executed but its reply is lost. */
 	loseReplies?: number;
-	/** Share of calls that are lost before they are carried out. */
+	/** Probability, from 0 to 1, that a call is lost before it is executed. */
 	loseRequests?: number;
-	/** Answers 503 to each call. */
+	/** Answers every call with status 503. */
 	outage?: boolean;
+	/** Delay before each call is handled. */
 	latencyMs?: Milliseconds;
-	/** Number of calls to answer with status 500. */
+	/** Number of further calls that are answered with status 500. */
 	errorBurst?: number;
-	/** Watches report no change. */
+	/** Watches are never answered. */
 	silentWatch?: boolean;
 };
 
-/** What becomes of a call under the faults in force. */
-export type Fate = 'serve' | 'lose-reply' | 'answered';
+/** How a call proceeds after fault injection: it is executed and answered, executed with its reply lost, or already concluded by a fault. */
+export type FaultOutcome = 'serve' | 'lose-reply' | 'answered';
 
-/** What a fake does beside its own interface. */
+/** Fault injection and control endpoint of a fake. */
 export type FaultControl = {
 	faults: Faults;
-	/** Applies latency, outage, errors and losses before a call is carried out. */
-	applyFaults: (exchange: Exchange) => Promise<Fate>;
-	/** Answers `/fake/faults` and `/fake/state`; false for other paths. */
-	handleControl: (exchange: Exchange) => Promise<boolean>;
+	/** Injects latency, silence, outages, errors and losses before a call is executed. */
+	applyFaults: (exchange: Exchange) => Promise<FaultOutcome>;
+	/** Answers requests to `/fake/faults` and `/fake/state`; returns false for other paths. */
+	handleControlRequest: (exchange: Exchange) => Promise<boolean>;
 };
 
-/** What the control of faults needs of its fake. */
-export type FaultPorts = {
-	/** Faults in force from the start; changed in place. */
+/** Options of a fault control. */
+export type FaultControlOptions = {
+	/** Initial faults; the object is changed in place. */
 	faults?: Faults;
 	clock: Clock;
 	random: Random;
+	/** Returns the body of the answer to `GET /fake/state`. */
 	getState: () => unknown;
-	/** Called after each change of the faults. */
+	/** Called with the changed faults after each change. */
 	onChange?: (change: Faults) => Promise<void>;
 };
 
-const dropExchange = (exchange: Exchange): Fate => {
+const resetConnection = (exchange: Exchange): FaultOutcome => {
 	exchange.response.socket?.resetAndDestroy();
 	return 'answered';
 };
 
-const takeError = (faults: Faults): boolean => {
-	const left = faults.errorBurst ?? 0;
-	faults.errorBurst = Math.max(0, left - 1);
-	return left > 0;
+/** Returns whether the call is to fail, and decrements the remaining error burst. */
+const consumeErrorBurst = (faults: Faults): boolean => {
+	const remaining = faults.errorBurst ?? 0;
+	faults.errorBurst = Math.max(0, remaining - 1);
+	return remaining > 0;
 };
 
-/** Creates the control of a fake's faults. */
-export const createFaultControl = (ports: FaultPorts): FaultControl => {
-	const faults: Faults = ports.faults ?? {};
+/** Creates the fault control of a fake. */
+export const createFaultControl = (options: FaultControlOptions): FaultControl => {
+	const faults: Faults = options.faults ?? {};
 
-	const decideFate = (exchange: Exchange): Fate => {
+	const getFaultOutcome = (exchange: Exchange): FaultOutcome => {
 		if (faults.silent === 'all') {
 			return 'answered';
 		}
@@ -80,30 +84,30 @@
 			return 'answered';
 		}
 
-		if (takeError(faults)) {
+		if (consumeErrorBurst(faults)) {
 			sendJson(exchange.response, 500, {error: {code: 'error'}});
 			return 'answered';
 		}
 
-		if (ports.random.next() < (faults.loseRequests ?? 0)) {
-			return dropExchange(exchange);
+		if (options.random.next() < (faults.loseRequests ?? 0)) {
+			return resetConnection(exchange);
 		}
 
-		return ports.random.next() < (faults.loseReplies ?? 0) ? 'lose-reply' : 'serve';
+		return options.random.next() < (faults.loseReplies ?? 0) ? 'lose-reply' : 'serve';
 	};
 
 	return {
 		faults,
 		async applyFaults(exchange) {
 			if (faults.latencyMs !== undefined && faults.latencyMs > 0) {
-				await ports.clock.sleep(faults.latencyMs);
+				await options.clock.sleep(faults.latencyMs);
 			}
 
-			return decideFate(exchange);
+			return getFaultOutcome(exchange);
 		},
-		async handleControl(exchange) {
+		async handleControlRequest(exchange) {
 			if (exchange.url.pathname === '/fake/state') {
-				sendJson(exchange.response, 200, ports.getState());
+				sendJson(exchange.response, 200, options.getState());
 				return true;
 			}
 
@@ -114,7 +118,7 @@
 			const change = (await readJson(exchange.request) ?? {}) as Faults;
 			Object.assign(faults, change);
 			sendJson(exchange.response, 200, faults);
-			await ports.onChange?.(change);
+			await options.onChange?.(change);
 			return true;
 		},
 	};
--- a/packages/fakes/src/host-list.ts
+++ b/packages/fakes/src/host-list.ts
@@ -1,30 +1,30 @@
 import type {ListedHost, Milliseconds} from '@gentianlift/types';
 import {createRandom, createSystemClock, type Clock} from '@gentianlift/clock';
 import {
-	createListener, readJson, sendJson, type Listener, type Place,
+	createListener, readJson, sendJson, type Listener, type ListenOptions,
 } from './listener.js';
 import {createFaultControl, type Faults} from './faults.js';
 
-/** Options of `createHostList`. */
-export type HostListOptions = Place & {
+/** Options of a fake host list. */
+export type HostListOptions = ListenOptions & {
 	hosts?: ListedHost[];
-	/** Time until a change is shown. */
-	lag?: Milliseconds;
+	/** Delay until a change of the list is visible. */
+	changeDelay?: Milliseconds;
 	clock?: Clock;
 };
 
-/** A running fake host list. */
+/** Running fake of the host list. */
 export type FakeHostList = {
 	listener: Listener;
 	faults: Faults;
-	/** Replaces the list; shown after the lag. */
+	/** Replaces the list after the configured delay. */
 	setHosts: (hosts: ListedHost[]) => void;
 	close: () => Promise<void>;
 };
 
-const defaultLag: Milliseconds = 1000;
+const defaultChangeDelay: Milliseconds = 1000;
 
-/** Starts a fake host list on a loopback port. */
+/** Starts a fake host list. */
 export const createHostList = async (options: HostListOptions = {}): Promise<FakeHostList> => {
 	const clock = options.clock ?? createSystemClock();
 	const faults: Faults = {};
@@ -34,13 +34,13 @@
 		faults, clock, random: createRandom(1), getState: () => ({hosts, reads, faults}),
 	});
 	const setHosts = (next: ListedHost[]): void => {
-		clock.after(options.lag ?? defaultLag, () => {
+		clock.after(options.changeDelay ?? defaultChangeDelay, () => {
 			hosts = next;
 		});
 	};
 
 	const listener = await createListener(options, async exchange => {
-		if (await control.handleControl(exchange)) {
+		if (await control.handleControlRequest(exchange)) {
 			return;
 		}
 
--- a/packages/fakes/src/key-value/index.ts
+++ b/packages/fakes/src/key-value/index.ts
@@ -1,3 +1,3 @@
 export * from './key-value.js';
 export * from './store.js';
-export * from './limit.js';
+export * from './rate-limit.js';
--- a/packages/fakes/src/key-value/key-value.test.ts
+++ b/packages/fakes/src/key-value/key-value.test.ts
@@ -2,7 +2,7 @@
 import {createManualClock} from '@gentianlift/clock';
 import {createKeyValue, createStore} from './index.js';
 
-test('compare-and-swap refuses another revision', () => {
+test('compare-and-swap rejects a stale revision', () => {
 	const store = createStore(createManualClock());
 	const first = store.write('a', {value: '1', expected: 0});
 	expect(first.applied).toBe(true);
@@ -10,22 +10,22 @@
 	expect(store.write('a', {value: '2', expected: first.revision}).applied).toBe(true);
 });
 
-test('a lease that lapses removes its entries and tells watches', async () => {
+test('an expired lease removes its entries and notifies watches', async () => {
 	const clock = createManualClock();
 	const store = createStore(clock);
 	const lease = store.grantLease(100);
 	const {revision} = store.write('a', {value: '1', expected: 0, lease: lease.id});
-	const seen: unknown[] = [];
+	const notifiedValues: unknown[] = [];
 	store.watch({
-		key: 'a', after: revision, tell(entry) {
-			seen.push(entry?.value);
+		key: 'a', after: revision, notify(entry) {
+			notifiedValues.push(entry?.value);
 		},
 	});
 	await clock.advance(200);
-	expect([store.read('a'), store.renewLease(lease.id), seen]).toEqual([undefined, undefined, ['']]);
+	expect([store.read('a'), store.renewLease(lease.id), notifiedValues]).toEqual([undefined, undefined, ['']]);
 });
 
-test('a lost reply leaves the write applied, a lost request does not', async () => {
+test('a write whose reply is lost is applied, one whose request is lost is not', async () => {
 	const keyValue = await createKeyValue();
 	const write = async (key: string) => fetch(`${keyValue.listener.url}/v1/kv/${key}`, {
 		method: 'PUT', body: JSON.stringify({value: 'x', expected: 0}),
@@ -38,14 +38,14 @@
 	await keyValue.close();
 });
 
-test('refuses calls past the limit', async () => {
+test('rejects calls beyond the rate limit', async () => {
 	const keyValue = await createKeyValue({readsPerSecond: 1, clock: {...createManualClock(), sleep: async () => undefined}});
 	const read = async () => fetch(`${keyValue.listener.url}/v1/kv/a`).then(({status}) => status);
 	expect([await read(), await read()]).toEqual([404, 429]);
 	await keyValue.close();
 });
 
-test('a watch answers with the change, or 204 at its limit', async () => {
+test('a watch answers with the change, or 204 at its time limit', async () => {
 	const keyValue = await createKeyValue();
 	const watch = async (limit: number) => fetch(`${keyValue.listener.url}/v1/watch/a?after=0&limit=${limit}`);
 	const unchanged = await watch(1);
--- a/packages/fakes/src/key-value/key-value.ts
+++ b/packages/fakes/src/key-value/key-value.ts
@@ -2,34 +2,35 @@
 import type {Entry, Milliseconds} from '@gentianlift/types';
 import {createRandom, createSystemClock, type Clock} from '@gentianlift/clock';
 import {
-	createListener, readJson, sendEmpty, sendJson, type Exchange, type Listener, type Place,
+	createListener, readJson, sendEmpty, sendJson, type Exchange, type Listener, type ListenOptions,
 } from '../listener.js';
 import {createFaultControl, type Faults} from '../faults.js';
-import {createLimit} from './limit.js';
-import {createStore, type Store, type StoreWrite} from './store.js';
+import {createRateLimit} from './rate-limit.js';
+import {createStore, type Store, type StoreWriteResult} from './store.js';
 
-/** Options of `createKeyValue`. */
-export type KeyValueOptions = Place & {
+/** Options of a fake key-value service. */
+export type KeyValueOptions = ListenOptions & {
 	writesPerSecond?: number;
 	readsPerSecond?: number;
-	/** Bytes of the longest value. */
-	valueBytes?: number;
-	/** Time that each call takes. */
+	/** Maximum size of a value, in bytes. */
+	maxValueBytes?: number;
+	/** Processing time of each call. */
 	callTime?: Milliseconds;
 	seed?: number;
 	clock?: Clock;
 };
 
-/** Calls since the start; a watch counts as one when it is opened. */
+/** Number of calls since the start; a watch counts once, when it is opened. */
 export type KeyValueCounts = {
 	reads: number;
 	writes: number;
 	watches: number;
 	leases: number;
+	/** Calls rejected by the rate limits. */
 	refused: number;
 };
 
-/** A running fake key-value service. */
+/** Running fake of the key-value service. */
 export type FakeKeyValue = {
 	listener: Listener;
 	faults: Faults;
@@ -40,77 +41,77 @@
 
 type CallKind = 'reads' | 'writes' | 'watches' | 'leases';
 
-type Call = Exchange & {
+type KeyValueCall = Exchange & {
 	store: Store;
 	faults: Faults;
 	clock: Clock;
-	valueBytes: number;
-	/** Sends the answer, unless it is to be lost. */
-	answer: (status: number, body?: unknown) => void;
+	maxValueBytes: number;
+	/** Sends the response, or resets the connection if the reply is to be lost. */
+	respond: (status: number, body?: unknown) => void;
 };
 
-const defaultWrites = 400;
-const defaultReads = 2000;
-const defaultValueBytes = 1_048_576;
+const defaultWritesPerSecond = 400;
+const defaultReadsPerSecond = 2000;
+const defaultMaxValueBytes = 1_048_576;
 const defaultCallTime: Milliseconds = 1;
-const keyPath = '/v1/kv/';
-const watchPath = '/v1/watch/';
-const leasePath = '/v1/leases/';
-const longestWatch: Milliseconds = 60_000;
+const keyPathPrefix = '/v1/kv/';
+const watchPathPrefix = '/v1/watch/';
+const leasePathPrefix = '/v1/leases/';
+const maxWatchDuration: Milliseconds = 60_000;
 
-const getKind = ({method, url}: Exchange): CallKind => {
+const getCallKind = ({method, url}: Exchange): CallKind => {
 	if (url.pathname.startsWith('/v1/leases')) {
 		return 'leases';
 	}
 
-	if (url.pathname.startsWith(watchPath)) {
+	if (url.pathname.startsWith(watchPathPrefix)) {
 		return 'watches';
 	}
 
 	return method === 'GET' ? 'reads' : 'writes';
 };
 
-const answerWrite = (call: Call, write: StoreWrite): void => {
-	call.answer(write.applied ? 200 : 409, {revision: write.revision});
+const respondToWrite = (call: KeyValueCall, write: StoreWriteResult): void => {
+	call.respond(write.applied ? 200 : 409, {revision: write.revision});
 };
 
-const handleKey = async (call: Call): Promise<void> => {
-	const key = decodeURIComponent(call.url.pathname.slice(keyPath.length));
+const handleKey = async (call: KeyValueCall): Promise<void> => {
+	const key = decodeURIComponent(call.url.pathname.slice(keyPathPrefix.length));
 	if (call.method === 'GET') {
 		const entry = call.store.read(key);
-		call.answer(entry === undefined ? 404 : 200, entry);
+		call.respond(entry === undefined ? 404 : 200, entry);
 		return;
 	}
 
 	if (call.method === 'DELETE') {
-		answerWrite(call, call.store.remove(key, Number(call.url.searchParams.get('expected'))));
+		respondToWrite(call, call.store.remove(key, Number(call.url.searchParams.get('expected'))));
 		return;
 	}
 
 	const change = await readJson(call.request) as {value: string; expected: number; lease?: string};
-	if (Buffer.byteLength(change.value) > call.valueBytes) {
-		call.answer(413, {error: {code: 'value-too-large'}});
+	if (Buffer.byteLength(change.value) > call.maxValueBytes) {
+		call.respond(413, {error: {code: 'value-too-large'}});
 		return;
 	}
 
-	answerWrite(call, call.store.write(key, change));
+	respondToWrite(call, call.store.write(key, change));
 };
 
-const handleWatch = (call: Call): void => {
-	const key = decodeURIComponent(call.url.pathname.slice(watchPath.length));
-	const limit = Math.min(longestWatch, Number(call.url.searchParams.get('limit') ?? longestWatch));
-	const tell = (entry: Entry | undefined): void => {
+const handleWatch = (call: KeyValueCall): void => {
+	const key = decodeURIComponent(call.url.pathname.slice(watchPathPrefix.length));
+	const limit = Math.min(maxWatchDuration, Number(call.url.searchParams.get('limit') ?? maxWatchDuration));
+	const endWatch = (entry: Entry | undefined): void => {
 		if (call.faults.silentWatch !== true) {
 			stopTimer();
-			call.answer(entry === undefined ? 204 : 200, entry);
+			call.respond(entry === undefined ? 204 : 200, entry);
 		}
 	};
 
 	let stopTimer = (): void => undefined;
-	const stopWatch = call.store.watch({key, after: Number(call.url.searchParams.get('after')), tell});
+	const stopWatch = call.store.watch({key, after: Number(call.url.searchParams.get('after')), notify: endWatch});
 	stopTimer = call.clock.after(limit, () => {
 		stopWatch();
-		tell(undefined);
+		endWatch(undefined);
 	});
 	call.response.on('close', () => {
 		stopWatch();
@@ -121,39 +122,39 @@
 	}
 };
 
-const handleLease = async (call: Call): Promise<void> => {
+const handleLease = async (call: KeyValueCall): Promise<void> => {
 	if (call.url.pathname === '/v1/leases') {
 		const {duration} = await readJson(call.request) as {duration: Milliseconds};
 		const lease = call.store.grantLease(duration);
-		call.answer(200, {lease: lease.id, expiresIn: lease.duration});
+		call.respond(200, {lease: lease.id, expiresIn: lease.duration});
 		return;
 	}
 
-	const [id = '', action] = call.url.pathname.slice(leasePath.length).split('/');
+	const [id = '', action] = call.url.pathname.slice(leasePathPrefix.length).split('/');
 	if (action === 'renew') {
 		const lease = call.store.renewLease(id);
-		call.answer(lease === undefined ? 404 : 200, {lease: id, expiresIn: lease?.duration ?? 0});
+		call.respond(lease === undefined ? 404 : 200, {lease: id, expiresIn: lease?.duration ?? 0});
 		return;
 	}
 
-	call.answer(call.store.endLease(id) ? 200 : 404, {lease: id});
+	call.respond(call.store.endLease(id) ? 200 : 404, {lease: id});
 };
 
-const handleCall = async (call: Call): Promise<void> => {
-	if (call.url.pathname.startsWith(keyPath)) {
+const handleCall = async (call: KeyValueCall): Promise<void> => {
+	if (call.url.pathname.startsWith(keyPathPrefix)) {
 		await handleKey(call);
-	} else if (call.url.pathname.startsWith(watchPath)) {
+	} else if (call.url.pathname.startsWith(watchPathPrefix)) {
 		handleWatch(call);
 	} else if (call.url.pathname.startsWith('/v1/leases')) {
 		await handleLease(call);
 	} else if (call.url.pathname === '/v1/kv') {
-		call.answer(200, {entries: call.store.list(call.url.searchParams.get('prefix') ?? '')});
+		call.respond(200, {entries: call.store.list(call.url.searchParams.get('prefix') ?? '')});
 	} else {
-		call.answer(404, {error: {code: 'not-found'}});
+		call.respond(404, {error: {code: 'not-found'}});
 	}
 };
 
-const createAnswer = ({response}: Exchange, isLost: boolean) => (status: number, body?: unknown): void => {
+const createResponder = ({response}: Exchange, isLost: boolean) => (status: number, body?: unknown): void => {
 	if (isLost) {
 		response.socket?.resetAndDestroy();
 	} else if (status === 204) {
@@ -163,7 +164,7 @@
 	}
 };
 
-/** Starts a fake key-value service on a loopback port. */
+/** Starts a fake key-value service. */
 export const createKeyValue = async (options: KeyValueOptions = {}): Promise<FakeKeyValue> => {
 	const clock = options.clock ?? createSystemClock();
 	const store = createStore(clock);
@@ -174,31 +175,32 @@
 	const control = createFaultControl({
 		faults, clock, random: createRandom(options.seed ?? 1), getState: () => ({...counts, openWatches: store.countWatches(), faults}),
 	});
-	const reads = createLimit(clock, options.readsPerSecond ?? defaultReads);
-	const writes = createLimit(clock, options.writesPerSecond ?? defaultWrites);
+	const readLimit = createRateLimit(clock, options.readsPerSecond ?? defaultReadsPerSecond);
+	const writeLimit = createRateLimit(clock, options.writesPerSecond ?? defaultWritesPerSecond);
 
-	const takes = (kind: CallKind): boolean => {
+	/** Counts a call and returns whether the rate limit admits it; watches count as reads, lease calls as writes. */
+	const admitCall = (kind: CallKind): boolean => {
 		counts[kind]++;
-		const taken = (kind === 'reads' || kind === 'watches' ? reads : writes).take();
-		counts.refused += taken ? 0 : 1;
-		return taken;
+		const isAdmitted = (kind === 'reads' || kind === 'watches' ? readLimit : writeLimit).take();
+		counts.refused += isAdmitted ? 0 : 1;
+		return isAdmitted;
 	};
 
 	const listener = await createListener(options, async exchange => {
-		if (await control.handleControl(exchange)) {
+		if (await control.handleControlRequest(exchange)) {
 			return;
 		}
 
-		if (!takes(getKind(exchange))) {
+		if (!admitCall(getCallKind(exchange))) {
 			sendJson(exchange.response, 429, {error: {code: 'rate-limit'}});
 			return;
 		}
 
 		await clock.sleep(options.callTime ?? defaultCallTime);
-		const fate = await control.applyFaults(exchange);
-		if (fate !== 'answered') {
+		const faultOutcome = await control.applyFaults(exchange);
+		if (faultOutcome !== 'answered') {
 			await handleCall({
-				...exchange, store, faults, clock, valueBytes: options.valueBytes ?? defaultValueBytes, answer: createAnswer(exchange, fate === 'lose-reply'),
+				...exchange, store, faults, clock, maxValueBytes: options.maxValueBytes ?? defaultMaxValueBytes, respond: createResponder(exchange, faultOutcome === 'lose-reply'),
 			});
 		}
 	});
--- a/packages/fakes/src/key-value/store.ts
+++ b/packages/fakes/src/key-value/store.ts
@@ -1,23 +1,26 @@
 import type {Entry, Milliseconds} from '@gentianlift/types';
 import type {Clock} from '@gentianlift/clock';
 
-type Watch = {key: string; after: number; tell: (entry: Entry | undefined) => void};
+/** Pending watch on changes of a key past a revision. */
+type Watch = {key: string; after: number; notify: (entry: Entry | undefined) => void};
 
+/** Lease with the keys that are removed when it ends. */
 type Lease = {id: string; duration: Milliseconds; expiresAt: Milliseconds; keys: Set<string>};
 
-/** Result of a write: the new revision, or that of the entry which stands. */
-export type StoreWrite = {applied: boolean; revision: number};
+/** Result of a write: the new revision if it was applied, otherwise the entry's current one; 0 if there is no entry. */
+export type StoreWriteResult = {applied: boolean; revision: number};
 
-/** Entries with revisions, leases and watches, in memory. */
+/** In-memory store of versioned entries with compare-and-swap, leases and watches. */
 export type Store = {
 	read: (key: string) => Entry | undefined;
 	list: (prefix: string) => Entry[];
-	write: (key: string, change: {value: string; expected: number; lease?: string}) => StoreWrite;
-	remove: (key: string, expected: number) => StoreWrite;
-	/** Calls `tell` on the first change past `after`; returns the way to stop. */
+	write: (key: string, change: {value: string; expected: number; lease?: string}) => StoreWriteResult;
+	remove: (key: string, expected: number) => StoreWriteResult;
+	/** Calls `notify` once, on the first change past the revision `after`; returns a function that cancels the watch. */
 	watch: (watch: Watch) => () => void;
 	grantLease: (duration: Milliseconds) => Lease;
 	renewLease: (id: string) => Lease | undefined;
+	/** Ends a lease and removes its entries; returns whether it was held. */
 	endLease: (id: string) => boolean;
 	countWatches: () => number;
 };
@@ -30,19 +33,19 @@
 	let revision = 0;
 	let leaseCount = 0;
 
-	const tellWatches = (entry: Entry): void => {
+	const notifyWatches = (entry: Entry): void => {
 		for (const watch of watches) {
 			if (watch.key === entry.key && entry.revision > watch.after) {
 				watches.delete(watch);
-				watch.tell(entry);
+				watch.notify(entry);
 			}
 		}
 	};
 
-	const drop = (key: string): void => {
+	const deleteEntry = (key: string): void => {
 		revision++;
 		entries.delete(key);
-		tellWatches({key, value: '', revision});
+		notifyWatches({key, value: '', revision});
 	};
 
 	const endLease = (id: string): boolean => {
@@ -50,14 +53,14 @@
 		leases.delete(id);
 		for (const key of lease?.keys ?? []) {
 			if (entries.has(key)) {
-				drop(key);
+				deleteEntry(key);
 			}
 		}
 
 		return lease !== undefined;
 	};
 
-	const expire = (): void => {
+	const expireLeases = (): void => {
 		for (const lease of leases.values()) {
 			if (lease.expiresAt <= clock.monotonic()) {
 				endLease(lease.id);
@@ -65,27 +68,28 @@
 		}
 	};
 
-	const detach = (key: string): void => {
+	/** Releases a key from its lease: an entry belongs to the lease of its last write only. */
+	const detachFromLeases = (key: string): void => {
 		for (const lease of leases.values()) {
 			lease.keys.delete(key);
 		}
 	};
 
 	const scheduleExpiry = (lease: Lease): void => {
-		clock.after(lease.duration + 1, expire);
+		clock.after(lease.duration + 1, expireLeases);
 	};
 
 	return {
 		read(key) {
-			expire();
+			expireLeases();
 			return entries.get(key);
 		},
 		list(prefix) {
-			expire();
+			expireLeases();
 			return [...entries.values()].filter(entry => entry.key.startsWith(prefix));
 		},
 		write(key, {value, expected, lease}) {
-			expire();
+			expireLeases();
 			const current = entries.get(key)?.revision ?? 0;
 			if (current !== expected || (lease !== undefined && !leases.has(lease))) {
 				return {applied: false, revision: current};
@@ -94,29 +98,29 @@
 			revision++;
 			const entry = {key, value, revision};
 			entries.set(key, entry);
-			detach(key);
+			detachFromLeases(key);
 			if (lease !== undefined) {
 				leases.get(lease)?.keys.add(key);
 			}
 
-			tellWatches(entry);
+			notifyWatches(entry);
 			return {applied: true, revision};
 		},
 		remove(key, expected) {
-			expire();
+			expireLeases();
 			const current = entries.get(key)?.revision ?? 0;
 			if (current !== expected || current === 0) {
 				return {applied: false, revision: current};
 			}
 
-			detach(key);
-			drop(key);
+			detachFromLeases(key);
+			deleteEntry(key);
 			return {applied: true, revision};
 		},
 		watch(watch) {
 			const current = entries.get(watch.key);
 			if (current !== undefined && current.revision > watch.after) {
-				watch.tell(current);
+				watch.notify(current);
 				return () => undefined;
 			}
 
@@ -135,7 +139,7 @@
 			return lease;
 		},
 		renewLease(id) {
-			expire();
+			expireLeases();
 			const lease = leases.get(id);
 			if (lease !== undefined) {
 				lease.expiresAt = clock.monotonic() + lease.duration;
--- a/packages/fakes/src/listener.ts
+++ b/packages/fakes/src/listener.ts
@@ -2,7 +2,7 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 
-/** One request and its answer. */
+/** An HTTP request with its response. */
 export type Exchange = {
 	request: IncomingMessage;
 	response: ServerResponse;
@@ -10,36 +10,38 @@
 	url: URL;
 };
 
-/** A server on a loopback port that can crash and come back under the same port. */
+/** HTTP server that can crash and restart on the same port. */
 export type Listener = {
 	address: string;
 	url: string;
-	/** Ends all connections at once and refuses new ones. */
+	/** Resets all connections and stops listening. */
 	crash: () => Promise<void>;
+	/** Listens again on the same port. */
 	restart: () => Promise<void>;
-	/** Closes the port after the exchanges under way. */
+	/** Stops listening and waits for the requests in flight. */
 	close: () => Promise<void>;
-	/** Connections open now. */
-	getConnections: () => number;
+	/** Returns the number of open connections. */
+	countConnections: () => number;
 };
 
-/** Port and IP address to listen on; port 0 lets the system choose. */
-export type Place = {port?: number; host?: string};
+/** Port and IP address to listen on; by default a free port (0) of the loopback interface. */
+export type ListenOptions = {port?: number; host?: string};
 
-const loopback = '127.0.0.1';
-const backlog = 16_384;
+const loopbackAddress = '127.0.0.1';
+/** Maximum number of connections that wait to be accepted. */
+const connectionBacklog = 16_384;
 
-/** Reads a whole body. */
+/** Reads a request's body as text. */
 export const readBody = async (request: IncomingMessage): Promise<string> => {
-	const parts: Uint8Array[] = [];
-	for await (const part of request) {
-		parts.push(part as Uint8Array);
+	const chunks: Uint8Array[] = [];
+	for await (const chunk of request) {
+		chunks.push(chunk as Uint8Array);
 	}
 
-	return Buffer.concat(parts).toString();
+	return Buffer.concat(chunks).toString();
 };
 
-/** Reads a JSON body; undefined if it is empty or not valid. */
+/** Reads a request's JSON body; returns undefined if it is empty or malformed. */
 export const readJson = async (request: IncomingMessage): Promise<unknown> => {
 	const body = await readBody(request);
 	try {
@@ -66,8 +68,8 @@
 	request, response, method: request.method ?? 'GET', url: new URL(request.url ?? '/', 'http://fake'),
 });
 
-/** Listens on a loopback port. */
-export const createListener = async (place: Place, handle: (exchange: Exchange) => Promise<void>): Promise<Listener> => {
+/** Starts an HTTP server; a handler that throws closes its connection. */
+export const createListener = async (options: ListenOptions, handle: (exchange: Exchange) => Promise<void>): Promise<Listener> => {
 	const sockets = new Set<Socket>();
 	const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		try {
@@ -89,10 +91,10 @@
 		});
 	});
 
-	const host = place.host ?? loopback;
+	const host = options.host ?? loopbackAddress;
 	const listen = async (port: number): Promise<number> => new Promise((resolve, reject) => {
 		server.once('error', reject);
-		server.listen({port, host, backlog}, () => {
+		server.listen({port, host, backlog: connectionBacklog}, () => {
 			server.off('error', reject);
 			resolve((server.address() as AddressInfo).port);
 		});
@@ -112,7 +114,7 @@
 		await closed;
 	};
 
-	const port = await listen(place.port ?? 0);
+	const port = await listen(options.port ?? 0);
 	return {
 		address: `${host}:${port}`,
 		url: `http://${host}:${port}`,
@@ -121,6 +123,6 @@
 			await listen(port);
 		},
 		close,
-		getConnections: () => sockets.size,
+		countConnections: () => sockets.size,
 	};
 };
--- a/packages/fakes/src/main.ts
+++ b/packages/fakes/src/main.ts
@@ -7,18 +7,19 @@
 import {createService} from './service.js';
 import {createWeightStore} from './weight-store.js';
 
-type Running = {listener: Listener; close: () => Promise<void>};
+type RunningFake = {listener: Listener; close: () => Promise<void>};
 
 const port = {type: 'string', description: 'Port to listen on; 0 lets the system choose', default: '0'} as const;
 
-const run = async ({listener, close}: Running): Promise<void> => {
+/** Prints the fake's address, which the parent process waits for, and closes the fake on SIGTERM. */
+const runUntilTerminated = async ({listener, close}: RunningFake): Promise<void> => {
 	process.stdout.write(`listening ${listener.address}\n`);
 	process.once('SIGTERM', () => {
 		void close();
 	});
 };
 
-const getList = (text: string): string[] => text.split(',').filter(item => item !== '');
+const splitList = (text: string): string[] => text.split(',').filter(item => item !== '');
 
 const engine = defineCommand({
 	meta: {name: 'engine', description: 'Model engine'},
@@ -38,10 +39,10 @@
 		timeFactor: {type: 'string', description: 'Speed of the engine against the clock', default: '1'},
 		seed: {type: 'string', description: 'Seed of random choices', default: '1'},
 	},
-	run: async ({args}) => run(await createEngine({
+	run: async ({args}) => runUntilTerminated(await createEngine({
 		port: Number(args.port),
-		models: getList(args.models),
-		adapters: getList(args.adapters),
+		models: splitList(args.models),
+		adapters: splitList(args.adapters),
 		slots: Number(args.slots),
 		stepTime: Number(args.step),
 		stepTimePerRunning: Number(args.stepPerRunning),
@@ -61,7 +62,7 @@
 		time: {type: 'string', description: 'Milliseconds of one call', default: '80'},
 		slots: {type: 'string', description: 'Calls at once', default: '8'},
 	},
-	run: async ({args}) => run(await createService({
+	run: async ({args}) => runUntilTerminated(await createService({
 		port: Number(args.port), serviceTime: Number(args.time), slots: Number(args.slots),
 	})),
 });
@@ -73,7 +74,7 @@
 		writes: {type: 'string', description: 'Writes a second', default: '400'},
 		reads: {type: 'string', description: 'Reads a second', default: '2000'},
 	},
-	run: async ({args}) => run(await createKeyValue({
+	run: async ({args}) => runUntilTerminated(await createKeyValue({
 		port: Number(args.port), writesPerSecond: Number(args.writes), readsPerSecond: Number(args.reads),
 	})),
 });
@@ -81,13 +82,13 @@
 const hostList = defineCommand({
 	meta: {name: 'host-list', description: 'Host list'},
 	args: {port, lag: {type: 'string', description: 'Milliseconds until a change is shown', default: '1000'}},
-	run: async ({args}) => run(await createHostList({port: Number(args.port), lag: Number(args.lag)})),
+	run: async ({args}) => runUntilTerminated(await createHostList({port: Number(args.port), changeDelay: Number(args.lag)})),
 });
 
 const weightStore = defineCommand({
 	meta: {name: 'weight-store', description: 'Weight store'},
 	args: {port, rate: {type: 'string', description: 'Bytes a second that all loads share', default: '2000000000'}},
-	run: async ({args}) => run(await createWeightStore({port: Number(args.port), bytesPerSecond: Number(args.rate)})),
+	run: async ({args}) => runUntilTerminated(await createWeightStore({port: Number(args.port), bytesPerSecond: Number(args.rate)})),
 });
 
 const main = defineCommand({
--- a/packages/fakes/src/service.ts
+++ b/packages/fakes/src/service.ts
@@ -1,51 +1,55 @@
 import type {Milliseconds} from '@gentianlift/types';
 import {createRandom, createSystemClock, type Clock} from '@gentianlift/clock';
 import {
-	createListener, readBody, sendJson, type Exchange, type Listener, type Place,
+	createListener, readBody, sendJson, type Exchange, type Listener, type ListenOptions,
 } from './listener.js';
 import {createFaultControl, type Faults} from './faults.js';
 
-/** A call that an application service carried out. */
+/** Record of a call that an application service executed. */
 export type ServiceCall = {
 	method: string;
 	path: string;
 	idempotencyKey: string;
+	/** Value of the `x-request-id` header; empty if it is absent. */
 	request: string;
 	body: string;
+	/** Time of arrival, in milliseconds since the Unix epoch. */
 	at: Milliseconds;
 };
 
-/** Options of `createService`. */
-export type ServiceOptions = Place & {
-	/** Time that one call takes. */
+/** Options of a fake application service. */
+export type ServiceOptions = ListenOptions & {
+	/** Execution time of a call. */
 	serviceTime?: Milliseconds;
-	/** Calls carried out at once; more are refused as not run. */
+	/** Maximum number of concurrent calls; further ones are rejected as not run. */
 	slots?: number;
+	/** Factor by which calls run faster than the clock. */
 	timeFactor?: number;
 	seed?: number;
 	clock?: Clock;
 };
 
-/** A running fake application service. */
+/** Running fake of an application service. */
 export type FakeService = {
 	listener: Listener;
 	faults: Faults;
+	/** Executed calls, oldest first. */
 	calls: ServiceCall[];
 	getState: () => ServiceState;
 	close: () => Promise<void>;
 };
 
-/** What `GET /fake/state` of an application service tells. */
+/** Body of an application service's answer to `GET /fake/state`. */
 export type ServiceState = {
 	received: number;
 	refused: number;
-	/** Calls with an idempotency key that had been carried out before. */
+	/** Number of executed calls whose idempotency key had been executed before. */
 	doubled: number;
 	calls: ServiceCall[];
 	faults: Faults;
 };
 
-const defaultRestart: Milliseconds = 2000;
+const defaultRestartDelay: Milliseconds = 2000;
 const defaultServiceTime: Milliseconds = 80;
 const defaultSlots = 8;
 
@@ -54,7 +58,7 @@
 	return typeof value === 'string' ? value : '';
 };
 
-const countDoubled = (calls: ServiceCall[]): number => {
+const countRepeatedCalls = (calls: ServiceCall[]): number => {
 	const keys = calls.map(call => call.idempotencyKey).filter(key => key !== '');
 	return keys.length - new Set(keys).size;
 };
@@ -67,7 +71,7 @@
 	return faults.refuse === true || running >= slots ? 'busy' : undefined;
 };
 
-/** Starts a fake application service on a loopback port. */
+/** Starts a fake application service. */
 export const createService = async (options: ServiceOptions = {}): Promise<FakeService> => {
 	const clock = options.clock ?? createSystemClock();
 	const slots = options.slots ?? defaultSlots;
@@ -77,7 +81,7 @@
 	let refused = 0;
 	let running = 0;
 	const getState = (): ServiceState => ({
-		received, refused, doubled: countDoubled(calls), calls, faults,
+		received, refused, doubled: countRepeatedCalls(calls), calls, faults,
 	});
 
 	const onChange = async (change: Faults): Promise<void> => {
@@ -87,7 +91,7 @@
 
 		faults.crash = false;
 		await listener.crash();
-		const delay = faults.restartAfterMs ?? defaultRestart;
+		const delay = faults.restartAfterMs ?? defaultRestartDelay;
 		if (delay > 0) {
 			clock.after(delay, () => {
 				void listener.restart();
@@ -99,7 +103,7 @@
 		faults, clock, random: createRandom(options.seed ?? 1), getState, onChange,
 	});
 
-	const carryOut = async (exchange: Exchange): Promise<ServiceCall> => {
+	const executeCall = async (exchange: Exchange): Promise<ServiceCall> => {
 		const {method, url} = exchange;
 		const call: ServiceCall = {
 			method,
@@ -118,12 +122,12 @@
 	};
 
 	const listener = await createListener(options, async exchange => {
-		if (await control.handleControl(exchange)) {
+		if (await control.handleControlRequest(exchange)) {
 			return;
 		}
 
-		const fate = await control.applyFaults(exchange);
-		if (fate === 'answered') {
+		const faultOutcome = await control.applyFaults(exchange);
+		if (faultOutcome === 'answered') {
 			return;
 		}
 
@@ -140,14 +144,14 @@
 			return;
 		}
 
-		const call = await carryOut(exchange);
-		if (fate === 'lose-reply') {
+		const executedCall = await executeCall(exchange);
+		if (faultOutcome === 'lose-reply') {
 			exchange.response.socket?.resetAndDestroy();
 			return;
 		}
 
 		if (faults.silent === undefined) {
-			sendJson(exchange.response, 200, {booked: call, number: calls.length}, {'x-ran': 'ran'});
+			sendJson(exchange.response, 200, {booked: executedCall, number: calls.length}, {'x-ran': 'ran'});
 		}
 	});
 	return {
--- a/packages/fakes/src/weight-store.ts
+++ b/packages/fakes/src/weight-store.ts
@@ -1,38 +1,39 @@
 import type {Milliseconds} from '@gentianlift/types';
 import {createRandom, createSystemClock, type Clock} from '@gentianlift/clock';
 import {
-	createListener, readJson, sendJson, type Listener, type Place,
+	createListener, readJson, sendJson, type Listener, type ListenOptions,
 } from './listener.js';
 import {createFaultControl, type Faults} from './faults.js';
 
-/** Options of `createWeightStore`. */
-export type WeightStoreOptions = Place & {
-	/** Rate that all loads share. */
+/** Options of a fake weight store. */
+export type WeightStoreOptions = ListenOptions & {
+	/** Bandwidth shared by all concurrent loads. */
 	bytesPerSecond?: number;
 	clock?: Clock;
 };
 
-/** A running fake weight store. */
+/** Running fake of the weight store. */
 export type FakeWeightStore = {
 	listener: Listener;
 	faults: Faults;
 	close: () => Promise<void>;
 };
 
-type Load = {left: number; finish: () => void};
+type WeightLoad = {remainingBytes: number; finish: () => void};
 
-const defaultRate = 2e9;
-const interval: Milliseconds = 20;
+const defaultBytesPerSecond = 2e9;
+const tickInterval: Milliseconds = 20;
 const millisecondsPerSecond = 1000;
 
-const createLoads = (clock: Clock, bytesPerSecond: number) => {
+/** Divides the bandwidth equally among the concurrent loads, recomputed every tick. */
+const createSharedBandwidth = (clock: Clock, bytesPerSecond: number) => {
 	const {every} = clock;
-	const loads = new Set<Load>();
+	const loads = new Set<WeightLoad>();
 	const advance = (): void => {
-		const share = bytesPerSecond * interval / millisecondsPerSecond / Math.max(1, loads.size);
+		const bytesPerLoad = bytesPerSecond * tickInterval / millisecondsPerSecond / Math.max(1, loads.size);
 		for (const load of loads) {
-			load.left -= share;
-			if (load.left <= 0) {
+			load.remainingBytes -= bytesPerLoad;
+			if (load.remainingBytes <= 0) {
 				loads.delete(load);
 				load.finish();
 			}
@@ -40,26 +41,26 @@
 	};
 
 	return {
-		stop: every(interval, advance),
-		read: async (bytes: number): Promise<void> => new Promise(resolve => {
-			loads.add({left: bytes, finish: resolve});
+		stop: every(tickInterval, advance),
+		transfer: async (bytes: number): Promise<void> => new Promise(resolve => {
+			loads.add({remainingBytes: bytes, finish: resolve});
 		}),
-		getBytesUnderWay: () => [...loads].reduce((sum, load) => sum + Math.max(0, load.left), 0),
+		getRemainingBytes: () => [...loads].reduce((sum, load) => sum + Math.max(0, load.remainingBytes), 0),
 	};
 };
 
-/** Starts a fake weight store on a loopback port. */
+/** Starts a fake weight store. */
 export const createWeightStore = async (options: WeightStoreOptions = {}): Promise<FakeWeightStore> => {
 	const clock = options.clock ?? createSystemClock();
-	const bytesPerSecond = options.bytesPerSecond ?? defaultRate;
+	const bytesPerSecond = options.bytesPerSecond ?? defaultBytesPerSecond;
 	const faults: Faults = {};
-	const loads = createLoads(clock, bytesPerSecond);
-	const getRate = () => ({bytesPerSecond, bytesUnderWay: loads.getBytesUnderWay()});
+	const bandwidth = createSharedBandwidth(clock, bytesPerSecond);
+	const getRate = () => ({bytesPerSecond, bytesUnderWay: bandwidth.getRemainingBytes()});
 	const control = createFaultControl({
 		faults, clock, random: createRandom(1), getState: () => ({...getRate(), faults}),
 	});
 	const listener = await createListener(options, async exchange => {
-		if (await control.handleControl(exchange) || await control.applyFaults(exchange) !== 'serve') {
+		if (await control.handleControlRequest(exchange) || await control.applyFaults(exchange) !== 'serve') {
 			return;
 		}
 
@@ -69,14 +70,14 @@
 		}
 
 		const {bytes} = await readJson(exchange.request) as {bytes: number};
-		await loads.read(bytes);
+		await bandwidth.transfer(bytes);
 		sendJson(exchange.response, 200, {bytes});
 	});
 	return {
 		listener,
 		faults,
 		async close() {
-			loads.stop();
+			bandwidth.stop();
 			await listener.crash();
 		},
 	};
