--- a/packages/fakes/src/engine/batch.ts
+++ b/packages/fakes/src/engine/batch.ts
@@ -71,6 +71,7 @@
 	const {clock} = options;
 	const queue: Generation[] = [];
 	const running = new Set<Generation>();
+	/** Monotonic time at which the prefills admitted so far end. */
 	let prefillFreeAt: Milliseconds = 0;
 	let nextStepAt: Milliseconds = 0;
 	let usedCacheTokens = 0;
--- a/packages/fakes/src/engine/live-generation.ts
+++ b/packages/fakes/src/engine/live-generation.ts
@@ -23,8 +23,10 @@
 	id: string;
 	body: GenerationBody;
 	exchange: Exchange;
+	/** Order of arrival. */
 	sequence: number;
 	meanTokens: number;
+	/** Returns the number of leading chunks of a prefix that are cached. */
 	countCached: (prefix: string[]) => number;
 	onStart: (prefix: string[]) => void;
 	/** Called for each token; returns false if the token must not be sent, as after a crash. */
--- a/packages/fakes/src/key-value/key-value.ts
+++ b/packages/fakes/src/key-value/key-value.ts
@@ -10,7 +10,9 @@
 
 /** Options of a fake key-value service. */
 export type KeyValueOptions = ListenOptions & {
+	/** Rate limit of writes and lease calls. */
 	writesPerSecond?: number;
+	/** Rate limit of reads and watches. */
 	readsPerSecond?: number;
 	/** Maximum size of a value, in bytes. */
 	maxValueBytes?: number;
@@ -41,6 +43,7 @@
 
 type CallKind = 'reads' | 'writes' | 'watches' | 'leases';
 
+/** Admitted call with the service's state. */
 type KeyValueCall = Exchange & {
 	store: Store;
 	faults: Faults;
--- a/packages/fakes/src/weight-store.ts
+++ b/packages/fakes/src/weight-store.ts
@@ -19,6 +19,7 @@
 	close: () => Promise<void>;
 };
 
+/** Load in progress; `finish` is called once no bytes remain. */
 type WeightLoad = {remainingBytes: number; finish: () => void};
 
 const defaultBytesPerSecond = 2e9;
--- a/packages/platform/src/memory-key-value.ts
+++ b/packages/platform/src/memory-key-value.ts
@@ -43,7 +43,9 @@
 /** Dependencies of the in-memory service. */
 export type MemoryKeyValueOptions = {clock: Clock; random: Random};
 
+/** Entry with the lease that it expires with. */
 type StoredEntry = {entry: Entry; lease?: string};
+/** Compare-and-swap of a value, or a removal if the value is undefined. */
 type WriteRequest = {key: string; value: string | undefined; expected: number; lease?: string};
 
 const noFaults: MemoryFaults = {
@@ -56,6 +58,7 @@
 };
 const outageReason = 'outage';
 
+/** Creates the state of the service: entries, leases, watchers and the history of applied writes. */
 const createStore = (clock: Clock) => {
 	const entries = new Map<string, StoredEntry>();
 	const leaseExpiries = new Map<string, Milliseconds>();
@@ -117,12 +120,13 @@
 	};
 
 	return {
-		get, apply, list, leases: leaseExpiries, endLease, expireLeases, watchers, history,
+		get, apply, list, leaseExpiries, endLease, expireLeases, watchers, history,
 	};
 };
 
 type Store = ReturnType<typeof createStore>;
 
+/** Resolves on the first change of a key past a revision, or after `limit`. */
 const waitForChange = async (store: Store, clock: Clock, {key, after, limit}: {key: string; after: number; limit: Milliseconds}) =>
 	new Promise<WatchOutcome>(resolve => {
 		const getChange = (): Entry | undefined => {
@@ -154,7 +158,7 @@
 	let sequence = 0;
 	const durations = new Map<string, Milliseconds>();
 	const setExpiry = (lease: string, duration: Milliseconds): LeaseOutcome => {
-		store.leases.set(lease, clock.monotonic() + duration);
+		store.leaseExpiries.set(lease, clock.monotonic() + duration);
 		return {kind: 'held', lease, expiresIn: duration};
 	};
 
@@ -166,7 +170,7 @@
 		},
 		renew(lease: string): LeaseOutcome {
 			store.expireLeases();
-			return store.leases.has(lease) ? setExpiry(lease, durations.get(lease) ?? 0) : {kind: 'lost'};
+			return store.leaseExpiries.has(lease) ? setExpiry(lease, durations.get(lease) ?? 0) : {kind: 'lost'};
 		},
 		end(lease: string): LeaseOutcome {
 			store.endLease(lease);
@@ -177,6 +181,7 @@
 
 const createWriteOperations = (store: Store, {clock, random}: MemoryKeyValueOptions, getFaults: () => MemoryFaults) => {
 	const plannedFaults: WriteFault[] = [];
+	/** Returns the fault of the next write: a planned one, otherwise a random one by its probability. */
 	const takeNextFault = (): WriteFault | undefined =>
 		plannedFaults.shift() ?? writeFaults.find(fault => random.next() < getFaults().chances[fault]);
 
@@ -209,7 +214,7 @@
 		}
 	};
 
-	return {write, planned: plannedFaults};
+	return {write, plannedFaults};
 };
 
 /** Creates an empty key-value service without faults. */
@@ -221,8 +226,9 @@
 	};
 	const store = createStore(clock);
 	const leaseOperations = createLeaseOperations(store, clock);
-	const {write, planned: plannedFaults} = createWriteOperations(store, options, () => faults);
+	const {write, plannedFaults} = createWriteOperations(store, options, () => faults);
 
+	/** Counts a call, fails it during an outage, and delays its reply; the call takes effect before the delay. */
 	const simulateCall = async <Outcome>(kind: keyof CallCounts, run: () => Outcome): Promise<Outcome | {kind: 'unavailable'; reason: string}> => {
 		calls[kind]++;
 		const outcome = faults.outage ? {kind: 'unavailable' as const, reason: outageReason} : run();
