--- a/packages/soak/src/answers.ts
+++ b/packages/soak/src/answers.ts
@@ -1,12 +1,12 @@
-/** Events of a stream. */
-export const eventCount = 8;
+/** Number of events in a streamed answer. */
+export const eventsPerStream = 8;
 
-/** Gets the body that an upstream stand-in makes for a request. */
+/** Returns the body with which a fake upstream answers a request. */
 export const getBody = (attempt: string): string => `answer to ${attempt}\n`;
 
-/** Gets one event of the stream that an upstream stand-in makes for a request. */
+/** Returns one event, counted from 1, of the stream with which a fake upstream answers a request. */
 export const getEvent = (attempt: string, number: number): string => `id: ${number}\ndata: ${attempt}\n\n`;
 
-/** Gets the whole stream. */
+/** Returns the complete stream with which a fake upstream answers a request. */
 export const getStream = (attempt: string): string =>
-	Array.from({length: eventCount}, (_, index) => getEvent(attempt, index + 1)).join('');
+	Array.from({length: eventsPerStream}, (_, index) => getEvent(attempt, index + 1)).join('');
--- a/packages/soak/src/command.ts
+++ b/packages/soak/src/command.ts
@@ -5,32 +5,35 @@
 import {defineCommand, type CommandDef} from 'citty';
 import {createSystemClock} from '@gentianlift/clock';
 import type {Deployment} from './deployment.js';
-import {keptCases} from './kept-cases.js';
-import {playSeed, type PlayOptions, type PlayReport} from './play.js';
+import {regressionCases} from './kept-cases.js';
+import {runSeed, type SeedRunOptions, type SeedRunReport} from './play.js';
 
-/** One play of a soak. */
-type Play = Pick<PlayOptions, 'seed' | 'steps'>;
+/** A run of the soak that is still to be started. */
+type SeedRun = Pick<SeedRunOptions, 'seed' | 'steps'>;
 
-const networkRange = 200;
-const firstNetwork = 20;
-const jobRange = 16;
-const processRange = 14;
+/** Number of processes with consecutive ids that differ in the third octet. */
+const thirdOctetCount = 200;
+const firstSecondOctet = 20;
+/** Second octets for the jobs of one process. */
+const jobsPerProcess = 16;
+const processBlockCount = 14;
 
-/** Loopback networks that no other job, nor a soak beside this one, is likely to use. */
+/** Returns the first three octets of a loopback network that no other job of this process uses and that a concurrent soak is unlikely to use. */
 const getNetwork = (job: number): string => {
-	const block = Math.floor(process.pid / networkRange) % processRange;
-	return `127.${firstNetwork + (block * jobRange) + (job % jobRange)}.${1 + (process.pid % networkRange)}`;
+	const block = Math.floor(process.pid / thirdOctetCount) % processBlockCount;
+	return `127.${firstSecondOctet + (block * jobsPerProcess) + (job % jobsPerProcess)}.${1 + (process.pid % thirdOctetCount)}`;
 };
 
 const millisecondsPerSecond = 1000;
-const seedRange = 1_000_000;
+/** First seeds taken from the time of day are below this number. */
+const drawnSeedLimit = 1_000_000;
 
-const describe = ({seed, faults, calls, served, breaches, failures}: PlayReport): string => {
-	const head = `seed ${seed}: ${faults} faults, ${calls} calls, ${served} served, ${breaches.length + failures.length} broken`;
-	return [head, ...failures.map(text => `  ${text}`), ...breaches.map(({promise, attempt, detail}) => `  ${promise}: ${attempt}: ${detail}`)].join('\n');
+const formatReport = ({seed, faults, calls, served, violations, failures}: SeedRunReport): string => {
+	const summary = `seed ${seed}: ${faults} faults, ${calls} calls, ${served} served, ${violations.length + failures.length} broken`;
+	return [summary, ...failures.map(text => `  ${text}`), ...violations.map(({guarantee, attempt, detail}) => `  ${guarantee}: ${attempt}: ${detail}`)].join('\n');
 };
 
-const getCount = (text: string, name: string): number => {
+const parseCount = (text: string, name: string): number => {
 	const value = Number(text);
 	if (!Number.isInteger(value) || value < 1) {
 		throw new TypeError(`--${name} must be a whole number above 0, not ${text}`);
@@ -50,40 +53,40 @@
 	keep: {type: 'boolean', default: false, description: 'Keeps all logs, not only those of seeds that failed'},
 } as const;
 
-/** Gets the command line of a soak of the deployment. */
+/** Creates the command that runs a soak of the deployment. */
 export const getSoakCommand = (deployment: Deployment): CommandDef<typeof soakArguments> => defineCommand({
 	meta: {name: 'soak', description: 'Plays drawn faults against the built program and checks what it promises'},
 	args: soakArguments,
 	async run({args}) {
 		const clock = createSystemClock();
 		const folder = mkdtempSync(join(tmpdir(), 'gentianlift-soak-'));
-		const first = args.first === undefined ? clock.now() % seedRange : getCount(args.first, 'first');
-		const seeds = Array.from({length: getCount(args.seeds, 'seeds')}, (_, index): Play => ({seed: first + index}));
-		const plays = [...(args.kept ? keptCases : []), ...seeds];
+		const first = args.first === undefined ? clock.now() % drawnSeedLimit : parseCount(args.first, 'first');
+		const seeds = Array.from({length: parseCount(args.seeds, 'seeds')}, (_, index): SeedRun => ({seed: first + index}));
+		const pending = [...(args.kept ? regressionCases : []), ...seeds];
 		let failed = 0;
-		const playNext = async (job: number): Promise<void> => {
-			for (let play = plays.shift(); play !== undefined; play = plays.shift()) {
-				// eslint-disable-next-line no-await-in-loop -- A job plays one after another.
-				const report = await playSeed({
-					...play,
+		const runPending = async (job: number): Promise<void> => {
+			for (let next = pending.shift(); next !== undefined; next = pending.shift()) {
+				// eslint-disable-next-line no-await-in-loop -- A job runs one seed at a time.
+				const report = await runSeed({
+					...next,
 					deployment,
 					clock,
 					network: getNetwork(job),
 					folder,
-					hosts: getCount(args.hosts, 'hosts'),
-					upstreams: getCount(args.upstreams, 'upstreams'),
-					length: getCount(args.seconds, 'seconds') * millisecondsPerSecond,
+					hosts: parseCount(args.hosts, 'hosts'),
+					upstreams: parseCount(args.upstreams, 'upstreams'),
+					faultPeriod: parseCount(args.seconds, 'seconds') * millisecondsPerSecond,
 				});
-				const isBroken = report.breaches.length + report.failures.length > 0;
-				failed += isBroken ? 1 : 0;
-				process.stdout.write(`${describe(report)}\n`);
-				if (!isBroken && !args.keep) {
-					rmSync(join(folder, `seed-${play.seed}`), {recursive: true});
+				const hasFailed = report.violations.length + report.failures.length > 0;
+				failed += hasFailed ? 1 : 0;
+				process.stdout.write(`${formatReport(report)}\n`);
+				if (!hasFailed && !args.keep) {
+					rmSync(join(folder, `seed-${next.seed}`), {recursive: true});
 				}
 			}
 		};
 
-		await Promise.all(Array.from({length: getCount(args.jobs, 'jobs')}, async (_, job) => playNext(job)));
+		await Promise.all(Array.from({length: parseCount(args.jobs, 'jobs')}, async (_, job) => runPending(job)));
 		process.stdout.write(failed === 0 ? 'soak passed\n' : `soak failed: ${failed} seeds; logs in ${folder}\n`);
 		process.exitCode = failed === 0 ? 0 : 1;
 	},
--- a/packages/soak/src/deployment.ts
+++ b/packages/soak/src/deployment.ts
@@ -1,77 +1,82 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
-import type {Call, RequestKind, Run} from './promises.js';
+import type {Call, RequestKind, Execution} from './promises.js';
 import type {Command} from './program.js';
-import type {StoreTrouble, UpstreamTrouble} from './schedule.js';
+import type {StoreTrouble, UpstreamFailureMode} from './schedule.js';
 
-/** A stand-in of the key-value service. */
+/** A fake of the key-value service. */
 export type StoreStandIn = {
 	address: Address;
 	put: (key: string, value: string) => void;
 	remove: (key: string) => void;
-	setTrouble: (trouble: StoreTrouble | undefined) => void;
+	setTrouble: (mode: StoreTrouble | undefined) => void;
 	close: () => void;
 };
 
-/** A stand-in of an upstream, which keeps its own entry in the key-value service. */
-export type UpstreamStandIn = {
-	setTrouble: (trouble: UpstreamTrouble | undefined) => void;
+/** A fake of an upstream, which maintains its own entry in the key-value service. */
+export type FakeUpstream = {
+	setFailureMode: (mode: UpstreamFailureMode | undefined) => void;
 	close: () => void;
 };
 
-/** What an upstream stand-in is told. */
-export type UpstreamPlan = {
+/** Options of a fake upstream. */
+export type FakeUpstreamOptions = {
 	service: string;
 	name: string;
 	ip: string;
 	store: StoreStandIn;
-	onRun: (run: Run) => void;
-	/** Wraps the address at which the upstream listens; returns the one that hosts are to connect to. */
+	/** Called when the upstream begins to execute a request; `at` is 0, the receiver sets it. */
+	onExecute: (execution: Execution) => void;
+	/** Opens a link to the address on which the upstream listens; returns the address that hosts connect to. */
 	openLink: (address: Address) => Promise<Address>;
 };
 
-/** What a host's process is told. */
+/** Options of a host's process. */
 export type HostPlan = {
 	name: string;
 	ip: string;
 	zone: string;
-	/** Address of the key-value service as this host sees it. */
+	/** Address of the link through which this host reaches the key-value service. */
 	store: Address;
 	knownPeers: string[];
+	/** Time that the host has for a graceful shutdown. */
 	grace: Milliseconds;
+	/** Directory for settings and logs. */
 	folder: string;
 };
 
-/** A request to send. */
+/** A request that a caller sends. */
 export type CallPlan = {
+	/** Unique id of the request. */
 	attempt: string;
 	kind: RequestKind;
-	/** Address that the host listens to callers on. */
+	/** Address on which the host listens for callers. */
 	address: Address;
+	/** Time after which the caller gives up. */
 	patience: Milliseconds;
 };
 
-/** Callers that keep their connections open. */
+/** Client of the hosts that keeps its connections open. */
 export type Callers = {
-	send: (call: CallPlan) => Promise<Call['ending']>;
-	/** Status of the answer on the route that only this version of the configuration has; undefined without one. */
+	send: (call: CallPlan) => Promise<Call['outcome']>;
+	/** Returns the status of the answer on the route that exists only in this version of the configuration; undefined without an answer. */
 	probe: (address: Address, version: number) => Promise<number | undefined>;
-	/** Hosts that a host tells callers to connect to; empty if it doesn't say. */
+	/** Returns the addresses of hosts that a host tells callers to connect to; empty without an answer. */
 	resolve: (hostIp: string) => Promise<Address[]>;
 	close: () => void;
 };
 
-/** The outside of the programs, as their wire needs it. */
+/** The parts of a soak that depend on the deployment's protocols: fakes, settings, the command that runs a host, and callers. */
 export type Deployment = {
-	/** Services by the kind of request that goes to them. */
+	/** Service that runs each kind of request. */
 	services: Record<RequestKind, string>;
 	startStore: (ip: string) => Promise<StoreStandIn>;
-	/** Replaces the configuration in the key-value service. */
+	/** Writes this version of the configuration into the key-value service. */
 	configure: (store: StoreStandIn, version: number) => void;
-	startUpstream: (plan: UpstreamPlan) => Promise<UpstreamStandIn>;
-	/** Writes the host's settings; a new grace may be written again while it runs. */
+	startUpstream: (options: FakeUpstreamOptions) => Promise<FakeUpstream>;
+	/** Writes the host's settings file, also again while the host runs. */
 	writeSettings: (plan: HostPlan) => void;
 	getCommand: (plan: HostPlan) => Command;
-	/** Where a host of this address listens to callers. */
+	/** Returns the address on which the host with this IP address listens for callers. */
 	getCallersAddress: (hostIp: string) => Address;
 	createCallers: () => Callers;
 };
--- a/packages/soak/src/exchange.ts
+++ b/packages/soak/src/exchange.ts
@@ -2,7 +2,7 @@
 	request, type ClientRequest, type IncomingMessage, type RequestOptions,
 } from 'node:http';
 import type {Milliseconds} from '@gentianlift/types';
-import type {Ending} from './promises.js';
+import type {Outcome} from './promises.js';
 
 const readText = async (message: IncomingMessage): Promise<string> => {
 	message.setEncoding('utf8');
@@ -16,23 +16,23 @@
 
 const getReason = (error: Error & {code?: string}): string => error.code ?? error.message;
 
-/** An answer that came whole. */
-export type Received = {status: number; text: string};
+/** A complete answer. */
+export type CompleteResponse = {status: number; text: string};
 
-/** Sends a request and waits for its whole answer; an ending if there is none within the limit. */
-export const exchange = async (options: RequestOptions, body: string, limit: Milliseconds): Promise<Received | Ending> => new Promise(resolve => {
+/** Sends a request and reads its answer; resolves with an outcome instead if no complete answer arrives within the time limit. */
+export const exchange = async (options: RequestOptions, body: string, limit: Milliseconds): Promise<CompleteResponse | Outcome> => new Promise(resolve => {
 	let isConnected = false;
-	const call: ClientRequest = request(options);
+	const outgoing: ClientRequest = request(options);
 	const timer = setTimeout(() => {
 		resolve({kind: 'given-up'});
-		call.destroy();
+		outgoing.destroy();
 	}, limit);
-	const finish = (result: Received | Ending): void => {
+	const finish = (result: CompleteResponse | Outcome): void => {
 		clearTimeout(timer);
 		resolve(result);
 	};
 
-	call.once('socket', socket => {
+	outgoing.once('socket', socket => {
 		isConnected = !socket.connecting;
 		if (!isConnected) {
 			socket.once('connect', () => {
@@ -40,10 +40,10 @@
 			});
 		}
 	});
-	call.once('error', error => {
+	outgoing.once('error', error => {
 		finish({kind: isConnected ? 'broken' : 'unsent', reason: getReason(error)});
 	});
-	const receive = async (message: IncomingMessage): Promise<void> => {
+	const readResponse = async (message: IncomingMessage): Promise<void> => {
 		try {
 			finish({status: message.statusCode ?? 0, text: await readText(message)});
 		} catch (error) {
@@ -51,11 +51,11 @@
 		}
 	};
 
-	call.once('response', message => {
-		void receive(message);
+	outgoing.once('response', message => {
+		void readResponse(message);
 	});
-	call.end(body);
+	outgoing.end(body);
 });
 
-/** Tells an answer from an ending without one. */
-export const isReceived = (result: Received | Ending): result is Received => 'status' in result && 'text' in result;
+/** Returns whether a result is a complete answer. */
+export const isReceived = (result: CompleteResponse | Outcome): result is CompleteResponse => 'status' in result && 'text' in result;
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -1,52 +1,53 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
 import type {
-	Deployment, HostPlan, StoreStandIn, UpstreamStandIn,
+	Deployment, HostPlan, StoreStandIn, FakeUpstream,
 } from './deployment.js';
 import {openLink, type Link} from './link.js';
-import {createProgram, type Program} from './program.js';
-import type {Run} from './promises.js';
+import {createHostProcess, type HostProcess} from './program.js';
+import type {Execution} from './promises.js';
 
-/** A host's process with its link to the key-value service. */
-export type SoakHost = {plan: HostPlan; program: Program; storeLink: Link; callers: Address; isDown: boolean};
+/** A host's process with its link to the key-value service; `hasActiveFault` while a fault stops, kills or pauses it. */
+export type SoakHost = {options: HostPlan; hostProcess: HostProcess; storeLink: Link; callerAddress: Address; hasActiveFault: boolean};
 
-/** An upstream stand-in behind a link. */
-export type SoakUpstream = {standIn: UpstreamStandIn; link: Link};
+/** A fake upstream behind a link. */
+export type SoakUpstream = {fake: FakeUpstream; link: Link};
 
-/** Everything that a play started. */
+/** All processes, fakes and links of one run. */
 export type Fleet = {store: StoreStandIn; hosts: SoakHost[]; upstreams: SoakUpstream[]; close: () => Promise<void>};
 
-/** What a fleet is made of. */
-export type FleetPlan = {
+/** Options of a fleet. */
+export type FleetOptions = {
 	deployment: Deployment;
-	/** First three numbers of the loopback addresses. */
+	/** First three octets of the loopback addresses. */
 	network: string;
 	folder: string;
 	hosts: number;
-	/** Upstreams of each service. */
+	/** Number of upstreams of each service. */
 	upstreams: number;
-	onRun: (run: Run) => void;
+	onExecute: (execution: Execution) => void;
 };
 
 const zones = ['zone-1', 'zone-2'];
-const firstHost = 10;
-const firstUpstream = 100;
-const storeNumber = 2;
-const linkNumber = 3;
-const grace: Milliseconds = 8000;
+// Last octets of the loopback addresses.
+const firstHostOctet = 10;
+const firstUpstreamOctet = 100;
+const storeOctet = 2;
+const storeLinkOctet = 3;
+const shutdownGracePeriod: Milliseconds = 8000;
 
-const startUpstreams = async ({deployment, network, upstreams, onRun}: FleetPlan, store: StoreStandIn): Promise<SoakUpstream[]> => {
+const startUpstreams = async ({deployment, network, upstreams, onExecute}: FleetOptions, store: StoreStandIn): Promise<SoakUpstream[]> => {
 	const services = [...new Set(Object.values(deployment.services))];
 	const names = services.flatMap(service => Array.from({length: upstreams}, (_, index) => ({service, name: `${service}-${index}`})));
 	return Promise.all(names.map(async ({service, name}, index): Promise<SoakUpstream> => {
 		let link: Link | undefined;
-		const standIn = await deployment.startUpstream({
+		const fake = await deployment.startUpstream({
 			service,
 			name,
-			ip: `${network}.${firstUpstream + index}`,
+			ip: `${network}.${firstUpstreamOctet + index}`,
 			store,
-			onRun,
+			onExecute,
 			async openLink(address) {
-				link = await openLink(`${network}.${firstUpstream + index}`, address);
+				link = await openLink(`${network}.${firstUpstreamOctet + index}`, address);
 				return link.address;
 			},
 		});
@@ -54,34 +55,34 @@
 			throw new Error(`${name} opened no link`);
 		}
 
-		return {standIn, link};
+		return {fake, link};
 	}));
 };
 
-const prepareHost = async ({deployment, network, folder}: FleetPlan, store: StoreStandIn, index: number): Promise<SoakHost> => {
-	const storeLink = await openLink(`${network}.${linkNumber}`, store.address);
-	const plan: HostPlan = {
+const prepareHost = async ({deployment, network, folder}: FleetOptions, store: StoreStandIn, index: number): Promise<SoakHost> => {
+	const storeLink = await openLink(`${network}.${storeLinkOctet}`, store.address);
+	const hostOptions: HostPlan = {
 		name: `host-${index}`,
-		ip: `${network}.${firstHost + index}`,
+		ip: `${network}.${firstHostOctet + index}`,
 		zone: zones[index % zones.length] ?? '',
 		store: storeLink.address,
-		knownPeers: [`${network}.${firstHost}`, `${network}.${firstHost + 1}`],
-		grace,
+		knownPeers: [`${network}.${firstHostOctet}`, `${network}.${firstHostOctet + 1}`],
+		grace: shutdownGracePeriod,
 		folder,
 	};
-	deployment.writeSettings(plan);
+	deployment.writeSettings(hostOptions);
 	return {
-		plan, program: createProgram(deployment.getCommand(plan)), storeLink, callers: deployment.getCallersAddress(plan.ip), isDown: false,
+		options: hostOptions, hostProcess: createHostProcess(deployment.getCommand(hostOptions)), storeLink, callerAddress: deployment.getCallersAddress(hostOptions.ip), hasActiveFault: false,
 	};
 };
 
-/** Starts the stand-ins and the hosts' processes; the hosts need a while until they serve. */
-export const startFleet = async (plan: FleetPlan): Promise<Fleet> => {
-	const store = await plan.deployment.startStore(`${plan.network}.${storeNumber}`);
-	const upstreams = await startUpstreams(plan, store);
-	const hosts = await Promise.all(Array.from({length: plan.hosts}, async (_, index) => prepareHost(plan, store, index)));
-	for (const {program} of hosts) {
-		program.start();
+/** Starts the fake services and the hosts' processes; returns before the hosts are ready. */
+export const startFleet = async (options: FleetOptions): Promise<Fleet> => {
+	const store = await options.deployment.startStore(`${options.network}.${storeOctet}`);
+	const upstreams = await startUpstreams(options, store);
+	const hosts = await Promise.all(Array.from({length: options.hosts}, async (_, index) => prepareHost(options, store, index)));
+	for (const {hostProcess} of hosts) {
+		hostProcess.start();
 	}
 
 	return {
@@ -89,13 +90,13 @@
 		hosts,
 		upstreams,
 		async close() {
-			await Promise.all(hosts.map(async ({program}) => program.kill()));
+			await Promise.all(hosts.map(async ({hostProcess}) => hostProcess.kill()));
 			for (const {storeLink} of hosts) {
 				storeLink.close();
 			}
 
-			for (const {standIn, link} of upstreams) {
-				standIn.close();
+			for (const {fake, link} of upstreams) {
+				fake.close();
 				link.close();
 			}
 
--- a/packages/soak/src/injector.ts
+++ b/packages/soak/src/injector.ts
@@ -3,99 +3,100 @@
 import type {Deployment} from './deployment.js';
 import type {Fleet, SoakHost} from './fleet.js';
 import type {Link, LinkState} from './link.js';
-import type {Sightings} from './promises.js';
+import type {Observations} from './promises.js';
 import type {Fault} from './schedule.js';
 
-/** Brings faults on a fleet. */
+/** Injects faults into a fleet. */
 export type Injector = {
-	/** Starts a fault; it ends by itself. */
+	/** Starts a fault, which ends after its duration. */
 	inject: (fault: Fault) => void;
-	/** Factor by which callers send more than usual now. */
-	getFactor: () => number;
-	/** Newest version of the configuration. */
+	/** Returns the current factor on the rate of requests. */
+	getRateFactor: () => number;
+	/** Returns the newest version of the configuration. */
 	getVersion: () => number;
 	/** Resolves when all faults have ended. */
-	settle: () => Promise<void>;
-	/** What programs did that they must not. */
+	waitForFaults: () => Promise<void>;
+	/** Returns the host processes' late and unexpected exits. */
 	getFailures: () => string[];
 };
 
-/** What an injector works with. */
-export type InjectorOptions = {fleet: Fleet; deployment: Deployment; clock: Clock; sightings: Sightings};
+/** Dependencies of an injector. */
+export type InjectorOptions = {fleet: Fleet; deployment: Deployment; clock: Clock; observations: Observations};
 
-const pauseBetweenConfigurations: Milliseconds = 150;
-/** Time after a start in which a host may not serve yet. */
-const startTime: Milliseconds = 3000;
-/** Time beyond its grace that a process may take until its end is seen. */
-const stopSlack: Milliseconds = 500;
+/** Time between two new versions of the configuration in one fault. */
+const configurationInterval: Milliseconds = 150;
+/** Time after its start in which a host may not be ready yet. */
+const startupTime: Milliseconds = 3000;
+/** Time beyond the grace period that is allowed until the exit of a process is observed. */
+const exitDetectionMargin: Milliseconds = 500;
 
-/** Creates an injector; the configuration has version 1. */
-export const createInjector = ({fleet, deployment, clock, sightings}: InjectorOptions): Injector => {
-	const running = new Set<Promise<void>>();
+/** Creates an injector for a fleet whose configuration has version 1. */
+export const createInjector = ({fleet, deployment, clock, observations}: InjectorOptions): Injector => {
+	const activeFaults = new Set<Promise<void>>();
 	const failures: string[] = [];
 	let version = 1;
-	let factor = 1;
+	let rateFactor = 1;
 
-	const disturb = (length: Milliseconds): void => {
+	const recordDisturbance = (duration: Milliseconds): void => {
 		const from = clock.monotonic();
-		sightings.disturbances.push({from, to: from + length});
+		observations.disturbances.push({from, to: from + duration});
 	};
 
-	/** A host takes one of these at a time; others that come meanwhile are left out. */
-	const takeHost = async (index: number, run: (host: SoakHost) => Promise<void>): Promise<void> => {
+	/** Runs a fault that stops, kills or pauses a host; skips it if the host already has such a fault. */
+	const runHostFault = async (index: number, run: (host: SoakHost) => Promise<void>): Promise<void> => {
 		const host = fleet.hosts[index];
-		if (host === undefined || host.isDown) {
+		if (host === undefined || host.hasActiveFault) {
 			return;
 		}
 
-		host.isDown = true;
+		host.hasActiveFault = true;
 		const outage = {host: index, from: clock.monotonic(), to: Number.POSITIVE_INFINITY};
-		sightings.outages.push(outage);
+		observations.outages.push(outage);
 		await run(host);
-		host.isDown = false;
-		outage.to = clock.monotonic() + startTime;
+		host.hasActiveFault = false;
+		outage.to = clock.monotonic() + startupTime;
 	};
 
-	const stopHost = async (index: number, {plan, program}: SoakHost): Promise<void> => {
-		const stop = {host: index, from: clock.monotonic(), to: Number.POSITIVE_INFINITY};
-		sightings.stops.push(stop);
-		const isInTime = await program.stop(plan.grace + stopSlack);
-		stop.to = clock.monotonic();
+	const restartHostGracefully = async (index: number, {options, hostProcess}: SoakHost): Promise<void> => {
+		const shutdown = {host: index, from: clock.monotonic(), to: Number.POSITIVE_INFINITY};
+		observations.shutdowns.push(shutdown);
+		const isInTime = await hostProcess.stop(options.grace + exitDetectionMargin);
+		shutdown.to = clock.monotonic();
 		if (!isInTime) {
-			failures.push(`${plan.name} outlived its grace at ${Math.round(stop.to)}`);
+			failures.push(`${options.name} didn't exit within its grace period; killed at ${Math.round(shutdown.to)}`);
 		}
 
-		program.start();
+		hostProcess.start();
 	};
 
-	const configure = async (count: number): Promise<void> => {
+	const publishConfigurations = async (count: number): Promise<void> => {
 		for (let left = count; left > 0; left--) {
 			version += 1;
 			deployment.configure(fleet.store, version);
-			// eslint-disable-next-line no-await-in-loop -- Configurations come one after another.
-			await clock.sleep(pauseBetweenConfigurations);
+			// eslint-disable-next-line no-await-in-loop -- Versions are published one at a time.
+			await clock.sleep(configurationInterval);
 		}
 	};
 
-	/** Brings on what ends after a while. */
-	const holdFor = async (length: Milliseconds, begin: () => void, end: () => void): Promise<void> => {
-		disturb(length);
+	/** Records a disturbance, begins a fault and ends it after the duration. */
+	const applyFor = async (duration: Milliseconds, begin: () => void, end: () => void): Promise<void> => {
+		recordDisturbance(duration);
 		begin();
-		await clock.sleep(length);
+		await clock.sleep(duration);
 		end();
 	};
 
-	const cutLink = async (link: Link | undefined, state: LinkState, length: Milliseconds): Promise<void> => holdFor(
-		length,
+	const impairLink = async (link: Link | undefined, state: LinkState, duration: Milliseconds): Promise<void> => applyFor(
+		duration,
 		() => link?.setState(state),
 		() => link?.setState({kind: 'open'}),
 	);
 
-	const killHost = async ({program}: SoakHost, down: Milliseconds): Promise<void> => {
-		disturb(down + startTime);
-		await program.kill();
+	const restartKilledHost = async ({hostProcess}: SoakHost, down: Milliseconds): Promise<void> => {
+		recordDisturbance(down + startupTime);
+		await hostProcess.kill();
 		await clock.sleep(down);
-		program.start();
+		hostProcess.start();
 	};
 
 	const reloadHost = (host: SoakHost | undefined, isSignalled: boolean): void => {
@@ -103,31 +104,31 @@
 			return;
 		}
 
-		deployment.writeSettings(host.plan);
-		if (isSignalled && !host.isDown) {
-			host.program.reload();
+		deployment.writeSettings(host.options);
+		if (isSignalled && !host.hasActiveFault) {
+			host.hostProcess.reload();
 		}
 	};
 
-	const burst = async (next: number, length: Milliseconds): Promise<void> => {
-		factor = next;
-		await clock.sleep(length);
-		factor = 1;
+	const raiseRate = async (burstFactor: number, duration: Milliseconds): Promise<void> => {
+		rateFactor = burstFactor;
+		await clock.sleep(duration);
+		rateFactor = 1;
 	};
 
-	const run = async (fault: Fault): Promise<void> => {
+	const runFault = async (fault: Fault): Promise<void> => {
 		const {hosts, upstreams, store} = fleet;
 		switch (fault.kind) {
 			case 'host-stop': {
-				return takeHost(fault.host, async host => stopHost(fault.host, host));
+				return runHostFault(fault.host, async host => restartHostGracefully(fault.host, host));
 			}
 
 			case 'host-kill': {
-				return takeHost(fault.host, async host => killHost(host, fault.down));
+				return runHostFault(fault.host, async host => restartKilledHost(host, fault.down));
 			}
 
 			case 'host-pause': {
-				return takeHost(fault.host, async ({program}) => holdFor(fault.length, program.pause, program.resume));
+				return runHostFault(fault.host, async ({hostProcess}) => applyFor(fault.duration, hostProcess.pause, hostProcess.resume));
 			}
 
 			case 'host-reload': {
@@ -136,52 +137,52 @@
 			}
 
 			case 'store-link': {
-				return cutLink(hosts[fault.host]?.storeLink, fault.state, fault.length);
+				return impairLink(hosts[fault.host]?.storeLink, fault.state, fault.duration);
 			}
 
 			case 'upstream-link': {
-				return cutLink(upstreams[fault.upstream]?.link, fault.state, fault.length);
+				return impairLink(upstreams[fault.upstream]?.link, fault.state, fault.duration);
 			}
 
 			case 'store': {
-				return holdFor(fault.length, () => {
-					store.setTrouble(fault.trouble);
+				return applyFor(fault.duration, () => {
+					store.setTrouble(fault.mode);
 				}, () => {
 					store.setTrouble(undefined);
 				});
 			}
 
 			case 'upstream': {
-				const standIn = upstreams[fault.upstream]?.standIn;
-				return holdFor(fault.length, () => standIn?.setTrouble(fault.trouble), () => standIn?.setTrouble(undefined));
+				const fake = upstreams[fault.upstream]?.fake;
+				return applyFor(fault.duration, () => fake?.setFailureMode(fault.mode), () => fake?.setFailureMode(undefined));
 			}
 
 			case 'configurations': {
-				return configure(fault.count);
+				return publishConfigurations(fault.count);
 			}
 
 			case 'burst': {
-				return burst(fault.factor, fault.length);
+				return raiseRate(fault.factor, fault.duration);
 			}
 		}
 	};
 
 	return {
 		inject(fault) {
-			const task = run(fault);
-			running.add(task);
+			const task = runFault(fault);
+			activeFaults.add(task);
 			void task.finally(() => {
-				running.delete(task);
+				activeFaults.delete(task);
 			});
 		},
-		getFactor: () => factor,
+		getRateFactor: () => rateFactor,
 		getVersion: () => version,
-		async settle() {
-			await Promise.all(running);
+		async waitForFaults() {
+			await Promise.all(activeFaults);
 		},
 		getFailures: () => [
 			...failures,
-			...fleet.hosts.flatMap(({plan, program}) => program.getOwnEnds().map(end => `${plan.name} ended by itself: ${end}`)),
+			...fleet.hosts.flatMap(({options, hostProcess}) => hostProcess.getUnexpectedExits().map(exit => `${options.name} exited unexpectedly: ${exit}`)),
 		],
 	};
 };
--- a/packages/soak/src/kept-cases.ts
+++ b/packages/soak/src/kept-cases.ts
@@ -1,13 +1,13 @@
 import type {Step} from './schedule.js';
 
-/** Faults that once broke a promise, with the seed that drew them first. */
-export type KeptCase = {seed: number; cause: string; steps: Step[]};
+/** A fault schedule that once caused a violation or failure, with the seed that first produced it. */
+export type RegressionCase = {seed: number; cause: string; steps: Step[]};
 
-/** All cases that once failed. */
-export const keptCases: readonly KeptCase[] = [
+/** Regression cases that the `kept` option runs before the seeds. */
+export const regressionCases: readonly RegressionCase[] = [
 	{
 		seed: 3,
-		cause: 'SIGHUP ended a host that was still loading: its handler was set after the settings were read',
+		cause: 'SIGHUP terminated a host that was still starting: its signal handler was installed only after the settings were read',
 		steps: [
 			{at: 100, fault: {kind: 'host-kill', host: 2, down: 300}},
 			{at: 450, fault: {kind: 'host-reload', host: 2, isSignalled: true}},
--- a/packages/soak/src/link.test.ts
+++ b/packages/soak/src/link.test.ts
@@ -4,10 +4,10 @@
 import {expect, onTestFinished, test} from 'vitest';
 import {openLink, type Link} from './link.js';
 
-const startLink = async (): Promise<{link: Link; getArrived: () => number}> => {
-	let arrived = 0;
+const startLink = async (): Promise<{link: Link; getRequestCount: () => number}> => {
+	let requestCount = 0;
 	const server = createServer((_, response) => {
-		arrived += 1;
+		requestCount += 1;
 		response.end('ok');
 	});
 	await new Promise<void>(resolve => {
@@ -19,62 +19,62 @@
 		server.close();
 		server.closeAllConnections();
 	});
-	return {link, getArrived: () => arrived};
+	return {link, getRequestCount: () => requestCount};
 };
 
-const limit = 500;
+const responseTimeout = 500;
 
-const ask = async ({address}: Link): Promise<string> => new Promise(resolve => {
-	const call = request({...splitAddress(address), agent: false});
+const requestThrough = async ({address}: Link): Promise<string> => new Promise(resolve => {
+	const outgoing = request({...splitAddress(address), agent: false});
 	const timer = setTimeout(() => {
 		resolve('silence');
-		call.destroy();
-	}, limit);
+		outgoing.destroy();
+	}, responseTimeout);
 	const finish = (text: string): void => {
 		clearTimeout(timer);
 		resolve(text);
 	};
 
-	call.once('response', (message: IncomingMessage) => {
+	outgoing.once('response', (message: IncomingMessage) => {
 		message.resume();
 		message.once('end', () => {
 			finish(`status ${message.statusCode}`);
 		});
 	});
-	call.once('error', (error: Error & {code?: string}) => {
+	outgoing.once('error', (error: Error & {code?: string}) => {
 		finish(error.code ?? 'error');
 	});
-	call.end();
+	outgoing.end();
 });
 
-test('an open link passes requests on', async () => {
+test('an open link forwards requests', async () => {
 	const {link} = await startLink();
-	expect(await ask(link)).toBe('status 200');
+	expect(await requestThrough(link)).toBe('status 200');
 });
 
-test('a delayed link takes its time', async () => {
+test('a delayed link delays both directions', async () => {
 	const {link} = await startLink();
 	link.setState({kind: 'delayed', delay: 100});
 	const from = performance.now();
-	expect(await ask(link)).toBe('status 200');
+	expect(await requestThrough(link)).toBe('status 200');
 	expect(performance.now() - from).toBeGreaterThan(190);
 });
 
-test('a resetting link breaks connections, and works again once it is open', async () => {
-	const {link, getArrived} = await startLink();
+test('a link in state reset resets connections and forwards again once it is open', async () => {
+	const {link, getRequestCount} = await startLink();
 	link.setState({kind: 'reset'});
-	expect(await ask(link)).toBe('ECONNRESET');
-	expect(getArrived()).toBe(0);
+	expect(await requestThrough(link)).toBe('ECONNRESET');
+	expect(getRequestCount()).toBe(0);
 	link.setState({kind: 'open'});
-	expect(await ask(link)).toBe('status 200');
+	expect(await requestThrough(link)).toBe('status 200');
 });
 
-test('a silent link loses bytes both ways, a one-way link those of the answer', async () => {
-	const {link, getArrived} = await startLink();
+test('a silent link drops bytes in both directions, a one-way link those of the answer', async () => {
+	const {link, getRequestCount} = await startLink();
 	link.setState({kind: 'silent'});
-	expect(await ask(link)).toBe('silence');
-	expect(getArrived()).toBe(0);
+	expect(await requestThrough(link)).toBe('silence');
+	expect(getRequestCount()).toBe(0);
 	link.setState({kind: 'one-way'});
-	expect(await ask(link)).toBe('silence');
-	expect(getArrived()).toBe(1);
+	expect(await requestThrough(link)).toBe('silence');
+	expect(getRequestCount()).toBe(1);
 });
--- a/packages/soak/src/link.ts
+++ b/packages/soak/src/link.ts
@@ -4,74 +4,74 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {splitAddress, type Address, type Milliseconds} from '@gentianlift/types';
 
-/** What a link does to the bytes on it. */
+/** How a link treats the bytes on it. */
 export type LinkState
 	= | {kind: 'open'}
 		| {kind: 'delayed'; delay: Milliseconds}
-		/** Connections are reset, open and new ones. */
+		/** Open and new connections are reset. */
 		| {kind: 'reset'}
-		/** Bytes vanish both ways; connections that lost some stay silent for good. */
+		/** Bytes are dropped in both directions; a direction that has dropped bytes forwards nothing more, even once the link is open again. */
 		| {kind: 'silent'}
-		/** Only bytes towards the caller vanish. */
+		/** Bytes towards the caller are dropped. */
 		| {kind: 'one-way'};
 
-/** A loopback proxy between two processes. */
+/** A TCP proxy on loopback that injects network faults between two processes. */
 export type Link = {
-	/** Where to connect instead of the target. */
+	/** Address to connect to instead of the target. */
 	address: Address;
 	setState: (state: LinkState) => void;
 	close: () => void;
 };
 
-/** One direction of a connection. */
-type Flow = {from: Socket; to: Socket; isTowardsCaller: boolean; isLost: boolean; queue: Promise<void>};
+/** State of one direction of a proxied connection. */
+type Direction = {from: Socket; to: Socket; isTowardsCaller: boolean; hasLostBytes: boolean; queue: Promise<void>};
 
-const isLosing = ({kind}: LinkState, isTowardsCaller: boolean): boolean =>
+const isDropping = ({kind}: LinkState, isTowardsCaller: boolean): boolean =>
 	kind === 'silent' || (kind === 'one-way' && isTowardsCaller);
 
-/** Runs one step of a flow after those before it, so that a change of the delay doesn't reorder bytes. */
-const enqueue = (flow: Flow, delay: Milliseconds, run: () => void): void => {
-	const before = flow.queue;
-	flow.queue = (async () => {
-		await (delay > 0 ? Promise.all([before, sleep(delay)]) : before);
-		if (!flow.to.destroyed) {
-			run();
+/** Runs an action after the direction's earlier ones, so that a change of the delay doesn't reorder bytes. */
+const enqueue = (direction: Direction, delay: Milliseconds, action: () => void): void => {
+	const previous = direction.queue;
+	direction.queue = (async () => {
+		await (delay > 0 ? Promise.all([previous, sleep(delay)]) : previous);
+		if (!direction.to.destroyed) {
+			action();
 		}
 	})();
 };
 
-const carry = (flow: Flow, getState: () => LinkState): void => {
-	const pass = (run: () => void): void => {
+const forward = (direction: Direction, getState: () => LinkState): void => {
+	const forwardUnlessDropping = (action: () => void): void => {
 		const state = getState();
-		flow.isLost ||= isLosing(state, flow.isTowardsCaller);
-		if (!flow.isLost) {
-			enqueue(flow, state.kind === 'delayed' ? state.delay : 0, run);
+		direction.hasLostBytes ||= isDropping(state, direction.isTowardsCaller);
+		if (!direction.hasLostBytes) {
+			enqueue(direction, state.kind === 'delayed' ? state.delay : 0, action);
 		}
 	};
 
-	flow.from.on('data', bytes => {
-		pass(() => {
-			flow.to.write(bytes);
+	direction.from.on('data', bytes => {
+		forwardUnlessDropping(() => {
+			direction.to.write(bytes);
 		});
 	});
-	flow.from.on('end', () => {
-		pass(() => {
-			flow.to.end();
+	direction.from.on('end', () => {
+		forwardUnlessDropping(() => {
+			direction.to.end();
 		});
 	});
-	flow.from.on('error', () => {
-		pass(() => {
-			flow.to.resetAndDestroy();
+	direction.from.on('error', () => {
+		forwardUnlessDropping(() => {
+			direction.to.resetAndDestroy();
 		});
 	});
-	flow.from.on('close', () => {
-		pass(() => {
-			flow.to.destroySoon();
+	direction.from.on('close', () => {
+		forwardUnlessDropping(() => {
+			direction.to.destroySoon();
 		});
 	});
 };
 
-/** Opens a link to the target, at a free port of the address. */
+/** Opens a link to the target, on a free port of the given IP address. */
 export const openLink = async (ip: string, target: Address): Promise<Link> => {
 	const {host, port} = splitAddress(target);
 	const sockets = new Set<Socket>();
@@ -90,16 +90,16 @@
 			return;
 		}
 
-		const far = connect({
+		const remote = connect({
 			host, port, allowHalfOpen: true, noDelay: true,
 		});
-		add(far);
+		add(remote);
 		const getState = (): LinkState => state;
-		carry({
-			from: caller, to: far, isTowardsCaller: false, isLost: false, queue: Promise.resolve(),
+		forward({
+			from: caller, to: remote, isTowardsCaller: false, hasLostBytes: false, queue: Promise.resolve(),
 		}, getState);
-		carry({
-			from: far, to: caller, isTowardsCaller: true, isLost: false, queue: Promise.resolve(),
+		forward({
+			from: remote, to: caller, isTowardsCaller: true, hasLostBytes: false, queue: Promise.resolve(),
 		}, getState);
 	});
 	await new Promise<void>(resolve => {
--- a/packages/soak/src/play.ts
+++ b/packages/soak/src/play.ts
@@ -5,133 +5,137 @@
 import type {Callers, Deployment} from './deployment.js';
 import {startFleet, type Fleet, type SoakHost} from './fleet.js';
 import {createInjector, type Injector} from './injector.js';
-import {findBreaches, type Breach, type Sightings} from './promises.js';
+import {findViolations, type Violation, type Observations} from './promises.js';
 import {drawSchedule, type Step} from './schedule.js';
 import {startTraffic} from './traffic.js';
 
-/** How a play is set up. */
-export type PlayOptions = {
+/** Options of one run of the soak. */
+export type SeedRunOptions = {
 	deployment: Deployment;
 	clock: Clock;
+	/** Seed of the faults and the traffic. */
 	seed: number;
-	/** First three numbers of loopback addresses that nobody else uses. */
+	/** First three octets of loopback addresses that no other process uses. */
 	network: string;
-	/** Where logs and settings are written. */
+	/** Directory to which logs and settings are written. */
 	folder: string;
 	hosts: number;
+	/** Number of upstreams of each service. */
 	upstreams: number;
-	/** Time in which faults begin. */
-	length: Milliseconds;
-	/** Faults in place of those that the seed draws. */
+	/** Time from the start of the traffic within which faults begin. */
+	faultPeriod: Milliseconds;
+	/** Faults to inject instead of those drawn from the seed. */
 	steps?: Step[];
 };
 
-/** What a play showed. */
-export type PlayReport = {
+/** Result of one run of the soak. */
+export type SeedRunReport = {
 	seed: number;
+	/** Number of faults in the schedule. */
 	faults: number;
+	/** Number of requests that callers sent. */
 	calls: number;
-	/** Calls with a success. */
+	/** Number of requests that were answered with status 200 and the right body. */
 	served: number;
-	breaches: Breach[];
-	/** What else must not happen: processes that ended by themselves, hosts that didn't come back. */
+	violations: Violation[];
+	/** Other failures: processes that exited unexpectedly or too late, hosts that didn't recover. */
 	failures: string[];
 };
 
-/** Time in which hosts must serve once nothing disturbs them. */
-const recoveryLimit: Milliseconds = 12_000;
-const recoveryPause: Milliseconds = 200;
-/** Lookups in a row that a host has to answer. */
-const recoveryCalls = 5;
-const lookupPatience: Milliseconds = 1500;
+/** Time within which each host must serve once all faults have ended. */
+const recoveryTimeout: Milliseconds = 12_000;
+const recoveryCheckInterval: Milliseconds = 200;
+/** Number of consecutive lookups that a host must answer to count as serving. */
+const recoveryLookups = 5;
+const lookupTimeout: Milliseconds = 1500;
 
-const createSightings = (): Sightings => ({
-	calls: [], runs: [], stops: [], disturbances: [], outages: [],
+const createObservations = (): Observations => ({
+	calls: [], executions: [], shutdowns: [], disturbances: [], outages: [],
 });
 
-/** Whether a host answers and has the newest configuration only. */
-const isServing = async ({callers: address}: SoakHost, callers: Callers, version: number, attempt: string): Promise<boolean> => {
-	for (let number = 0; number < recoveryCalls; number++) {
-		// eslint-disable-next-line no-await-in-loop -- One after another, as the host is to be at rest.
-		const ending = await callers.send({
-			attempt: `${attempt}-${number}`, kind: 'lookup', address, patience: lookupPatience,
+/** Returns whether a host answers requests and serves the newest version of the configuration but not the one before it. */
+const isServing = async ({callerAddress: address}: SoakHost, callers: Callers, version: number, attemptPrefix: string): Promise<boolean> => {
+	for (let number = 0; number < recoveryLookups; number++) {
+		// eslint-disable-next-line no-await-in-loop -- Lookups are sent one at a time, so that they put no load on the host.
+		const outcome = await callers.send({
+			attempt: `${attemptPrefix}-${number}`, kind: 'lookup', address, patience: lookupTimeout,
 		});
-		if (ending.kind !== 'answered' || ending.status !== 200 || !ending.isOwn) {
+		if (outcome.kind !== 'answered' || outcome.status !== 200 || !outcome.isOwn) {
 			return false;
 		}
 	}
 
-	const isNew = await callers.probe(address, version) === 200;
-	return isNew && (version === 1 || await callers.probe(address, version - 1) === 404);
+	const hasNewestVersion = await callers.probe(address, version) === 200;
+	return hasNewestVersion && (version === 1 || await callers.probe(address, version - 1) === 404);
 };
 
-const waitForHost = async (host: SoakHost, callers: Callers, {clock, seed}: PlayOptions, getVersion: () => number): Promise<string[]> => {
+const waitForHost = async (host: SoakHost, callers: Callers, {clock, seed}: SeedRunOptions, getVersion: () => number): Promise<string[]> => {
 	const from = clock.monotonic();
-	for (let round = 0; clock.monotonic() - from < recoveryLimit; round++) {
-		// eslint-disable-next-line no-await-in-loop -- Each look follows on the one before.
-		if (await isServing(host, callers, getVersion(), `check-${seed}-${host.plan.name}-${Math.round(from)}-${round}`)) {
+	for (let round = 0; clock.monotonic() - from < recoveryTimeout; round++) {
+		// eslint-disable-next-line no-await-in-loop -- A host is checked again only after the previous check.
+		if (await isServing(host, callers, getVersion(), `check-${seed}-${host.options.name}-${Math.round(from)}-${round}`)) {
 			return [];
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- A pause between looks.
-		await clock.sleep(recoveryPause);
+		// eslint-disable-next-line no-await-in-loop -- The interval between two checks.
+		await clock.sleep(recoveryCheckInterval);
 	}
 
-	return [`${host.plan.name} didn't serve within ${recoveryLimit} ms`];
+	return [`${host.options.name} didn't serve within ${recoveryTimeout} ms`];
 };
 
-const waitForFleet = async (fleet: Fleet, callers: Callers, options: PlayOptions, getVersion: () => number): Promise<string[]> => {
+const waitForFleet = async (fleet: Fleet, callers: Callers, options: SeedRunOptions, getVersion: () => number): Promise<string[]> => {
 	const failures = await Promise.all(fleet.hosts.map(async host => waitForHost(host, callers, options, getVersion)));
 	return failures.flat();
 };
 
-const injectAll = async (steps: readonly Step[], injector: Injector, clock: Clock): Promise<void> => {
+const injectFaults = async (steps: readonly Step[], injector: Injector, clock: Clock): Promise<void> => {
 	const from = clock.monotonic();
 	for (const {at, fault} of steps) {
-		// eslint-disable-next-line no-await-in-loop -- Faults begin at their times.
+		// eslint-disable-next-line no-await-in-loop -- Faults begin at their scheduled times.
 		await clock.sleep(Math.max(0, at - (clock.monotonic() - from)));
 		injector.inject(fault);
 	}
 
-	await injector.settle();
+	await injector.waitForFaults();
 };
 
-/** Plays one seed: starts everything, brings on the faults, waits for the recovery and checks what was seen. */
-export const playSeed = async (options: PlayOptions): Promise<PlayReport> => {
+/** Runs the soak with one seed: starts the fleet and the traffic, injects the faults, waits for the hosts to recover and checks the guarantees. */
+export const runSeed = async (options: SeedRunOptions): Promise<SeedRunReport> => {
 	const {
-		deployment, clock, seed, network, hosts, upstreams, length,
+		deployment, clock, seed, network, hosts, upstreams, faultPeriod,
 	} = options;
 	const folder = join(options.folder, `seed-${seed}`);
 	mkdirSync(folder, {recursive: true});
-	const sightings = createSightings();
+	const observations = createObservations();
 	const fleet = await startFleet({
-		deployment, network, folder, hosts, upstreams, onRun(run) {
-			sightings.runs.push({...run, at: clock.monotonic()});
+		deployment, network, folder, hosts, upstreams, onExecute(execution) {
+			observations.executions.push({...execution, at: clock.monotonic()});
 		},
 	});
 	const callers = deployment.createCallers();
-	const steps = options.steps ?? drawSchedule(seed, {hosts, upstreams: fleet.upstreams.length}, length);
+	const steps = options.steps ?? drawSchedule(seed, {hosts, upstreams: fleet.upstreams.length}, faultPeriod);
 	try {
 		deployment.configure(fleet.store, 1);
 		const startFailures = await waitForFleet(fleet, callers, options, () => 1);
 		const injector = createInjector({
-			fleet, deployment, clock, sightings,
+			fleet, deployment, clock, observations,
 		});
 		const traffic = startTraffic({
-			fleet, deployment, callers, clock, random: createRandom(seed + 1), prefix: `a${seed}`,
-			getFactor: injector.getFactor, onCall(call) {
-				sightings.calls.push(call);
+			fleet, deployment, callers, clock, random: createRandom(seed + 1), attemptPrefix: `a${seed}`,
+			getRateFactor: injector.getRateFactor, onCall(call) {
+				observations.calls.push(call);
 			},
 		});
-		await injectAll(steps, injector, clock);
+		await injectFaults(steps, injector, clock);
 		const recoveryFailures = await waitForFleet(fleet, callers, options, injector.getVersion);
 		await traffic.stop();
 		return {
 			seed,
 			faults: steps.length,
-			calls: sightings.calls.length,
-			served: sightings.calls.filter(({ending}) => ending.kind === 'answered' && ending.status === 200 && ending.isOwn).length,
-			breaches: findBreaches(sightings),
+			calls: observations.calls.length,
+			served: observations.calls.filter(({outcome}) => outcome.kind === 'answered' && outcome.status === 200 && outcome.isOwn).length,
+			violations: findViolations(observations),
 			failures: [...startFailures, ...recoveryFailures, ...injector.getFailures()],
 		};
 	} finally {
--- a/packages/soak/src/program.ts
+++ b/packages/soak/src/program.ts
@@ -3,27 +3,27 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** A command that runs one host until it is told to stop. */
+/** A command that runs one host until it receives a signal. */
 export type Command = {file: string; args: string[]; env: Record<string, string>; logFile: string};
 
-/** A host's process, started again after each end. */
-export type Program = {
+/** A host's process, which can be started again after it has exited. */
+export type HostProcess = {
 	start: () => void;
-	/** Sends SIGTERM, then SIGKILL if the process outlives the grace; resolves when it has ended, with whether it was in time. */
-	stop: (grace: Milliseconds) => Promise<boolean>;
+	/** Sends SIGTERM, and SIGKILL after the grace period; resolves when the process has exited, with whether it exited within the grace period. */
+	stop: (gracePeriod: Milliseconds) => Promise<boolean>;
 	kill: () => Promise<void>;
 	pause: () => void;
 	resume: () => void;
-	/** Sends SIGHUP to a process that has begun to log; until then it can't take any signal. */
+	/** Sends SIGHUP if the process has written its first output; before that it has no signal handlers and SIGHUP would end it. */
 	reload: () => void;
-	/** Ends of the process that nobody asked for, with its exit code or signal. */
-	getOwnEnds: () => string[];
+	/** Returns the exit code or signal of each exit that wasn't caused by `stop` or `kill`. */
+	getUnexpectedExits: () => string[];
 };
 
-const hasEnded = (child: ChildProcess): boolean => child.exitCode !== null || child.signalCode !== null;
+const hasExited = (child: ChildProcess): boolean => child.exitCode !== null || child.signalCode !== null;
 
-const waitForEnd = async (child: ChildProcess): Promise<void> => {
-	if (!hasEnded(child)) {
+const waitForExit = async (child: ChildProcess): Promise<void> => {
+	if (!hasExited(child)) {
 		await new Promise<void>(resolve => {
 			child.once('exit', () => {
 				resolve();
@@ -32,25 +32,25 @@
 	}
 };
 
-/** Creates a program that isn't running yet. */
-export const createProgram = (command: Command): Program => {
-	const ownEnds: string[] = [];
+/** Creates a host process that isn't started yet. */
+export const createHostProcess = (command: Command): HostProcess => {
+	const unexpectedExits: string[] = [];
 	let child: ChildProcess | undefined;
-	let isEndExpected = false;
+	let isExitExpected = false;
 	let isLogging = false;
 	const log: WriteStream = createWriteStream(command.logFile, {flags: 'a'});
 
-	const end = async (signal: NodeJS.Signals): Promise<void> => {
-		isEndExpected = true;
+	const sendAndWait = async (signal: NodeJS.Signals): Promise<void> => {
+		isExitExpected = true;
 		if (child !== undefined) {
 			child.kill(signal);
-			await waitForEnd(child);
+			await waitForExit(child);
 		}
 	};
 
 	return {
 		start() {
-			isEndExpected = false;
+			isExitExpected = false;
 			isLogging = false;
 			const started = spawn(command.file, command.args, {env: command.env, stdio: ['ignore', 'pipe', 'pipe']});
 			started.stdout.once('data', () => {
@@ -59,27 +59,27 @@
 			started.stdout.pipe(log, {end: false});
 			started.stderr.pipe(log, {end: false});
 			started.once('exit', (code, signal) => {
-				if (!isEndExpected) {
-					ownEnds.push(signal ?? `code ${code}`);
+				if (!isExitExpected) {
+					unexpectedExits.push(signal ?? `code ${code}`);
 				}
 			});
 			child = started;
 		},
-		async stop(grace) {
-			const stopping = child;
-			if (stopping === undefined || hasEnded(stopping)) {
+		async stop(gracePeriod) {
+			const running = child;
+			if (running === undefined || hasExited(running)) {
 				return true;
 			}
 
-			isEndExpected = true;
-			stopping.kill('SIGTERM');
-			await Promise.race([waitForEnd(stopping), sleep(grace)]);
-			const isInTime = hasEnded(stopping);
-			await end('SIGKILL');
-			return isInTime;
+			isExitExpected = true;
+			running.kill('SIGTERM');
+			await Promise.race([waitForExit(running), sleep(gracePeriod)]);
+			const hasExitedInTime = hasExited(running);
+			await sendAndWait('SIGKILL');
+			return hasExitedInTime;
 		},
 		async kill() {
-			await end('SIGKILL');
+			await sendAndWait('SIGKILL');
 		},
 		pause() {
 			child?.kill('SIGSTOP');
@@ -92,6 +92,6 @@
 				child?.kill('SIGHUP');
 			}
 		},
-		getOwnEnds: () => [...ownEnds],
+		getUnexpectedExits: () => [...unexpectedExits],
 	};
 };
--- a/packages/soak/src/promises.test.ts
+++ b/packages/soak/src/promises.test.ts
@@ -1,74 +1,74 @@
 import {expect, test} from 'vitest';
 import {
-	findBreaches, type Call, type Run, type Sightings,
+	findViolations, type Call, type Execution, type Observations,
 } from './promises.js';
 import {drawSchedule} from './schedule.js';
 
 const call = (changes: Partial<Call> = {}): Call => ({
-	attempt: 'a', kind: 'booking', service: 's', host: 0, startedAt: 10_000, endedAt: 10_100, patience: 1000,
-	ending: {kind: 'answered', status: 200, isOwn: true}, ...changes,
+	attempt: 'a', kind: 'booking', service: 's', host: 0, startedAt: 10_000, endedAt: 10_100, timeout: 1000,
+	outcome: {kind: 'answered', status: 200, isOwn: true}, ...changes,
 });
 
-const run = (changes: Partial<Run> = {}): Run => ({
+const execution = (changes: Partial<Execution> = {}): Execution => ({
 	attempt: 'a', service: 's', upstream: 'u', at: 10_050, ...changes,
 });
 
-const find = (changes: Partial<Sightings>): string[] => findBreaches({
-	calls: [], runs: [], stops: [], disturbances: [], outages: [], ...changes,
-}).map(({promise}) => promise);
+const find = (changes: Partial<Observations>): string[] => findViolations({
+	calls: [], executions: [], shutdowns: [], disturbances: [], outages: [], ...changes,
+}).map(({guarantee}) => guarantee);
 
-test('a request that ran once and was answered breaks nothing', () => {
-	expect(find({calls: [call()], runs: [run()]})).toEqual([]);
+test('a request that was executed once and answered violates no guarantee', () => {
+	expect(find({calls: [call()], executions: [execution()]})).toEqual([]);
 });
 
-test('a booking or a stream that ran twice is found, a lookup may', () => {
-	const runs = [run(), run({upstream: 'v'})];
-	expect(find({calls: [call()], runs})).toEqual(['a booking or a stream runs at most once']);
-	expect(find({calls: [call({kind: 'stream'})], runs})).toEqual(['a booking or a stream runs at most once']);
-	expect(find({calls: [call({kind: 'lookup'})], runs})).toEqual([]);
+test('reports a booking or a stream that was executed twice, but not a lookup', () => {
+	const executions = [execution(), execution({upstream: 'v'})];
+	expect(find({calls: [call()], executions})).toEqual(['a booking or a stream runs at most once']);
+	expect(find({calls: [call({kind: 'stream'})], executions})).toEqual(['a booking or a stream runs at most once']);
+	expect(find({calls: [call({kind: 'lookup'})], executions})).toEqual([]);
 });
 
-test('a refusal of what ran is found, a failure that promises nothing is none', () => {
-	const ending = (status: number) => ({kind: 'answered', status, isOwn: false} as const);
+test('reports a status that denies an execution that took place, but not a 502', () => {
+	const answered = (status: number) => ({kind: 'answered', status, isOwn: false} as const);
 	for (const status of [408, 421, 429, 503]) {
-		expect(find({calls: [call({ending: ending(status)})], runs: [run()]})).toEqual(['what is said not to have run has not']);
-		expect(find({calls: [call({ending: ending(status)})]})).toEqual([]);
+		expect(find({calls: [call({outcome: answered(status)})], executions: [execution()]})).toEqual(['what is said not to have run has not']);
+		expect(find({calls: [call({outcome: answered(status)})]})).toEqual([]);
 	}
 
-	expect(find({calls: [call({ending: ending(502)})], runs: [run()]})).toEqual([]);
+	expect(find({calls: [call({outcome: answered(502)})], executions: [execution()]})).toEqual([]);
 });
 
-test('a success with another body is found', () => {
-	expect(find({calls: [call({ending: {kind: 'answered', status: 200, isOwn: false}})], runs: [run()]})).toEqual(['an answer is whole and belongs to its request']);
+test('reports a success with the body of another request', () => {
+	expect(find({calls: [call({outcome: {kind: 'answered', status: 200, isOwn: false}})], executions: [execution()]})).toEqual(['an answer is whole and belongs to its request']);
 });
 
-test('a run at another service is found', () => {
-	expect(find({calls: [call()], runs: [run({service: 't'})]})).toEqual(['a request runs at its own service']);
+test('reports an execution at another service', () => {
+	expect(find({calls: [call()], executions: [execution({service: 't'})]})).toEqual(['a request runs at its own service']);
 });
 
-test('an answer that never came is found, unless the host was away', () => {
-	const late = call({endedAt: 13_000, ending: {kind: 'given-up'}});
-	expect(find({calls: [late]})).toEqual(['a host that works answers in time']);
-	expect(find({calls: [late], outages: [{host: 1, from: 9000, to: 11_000}]})).toEqual(['a host that works answers in time']);
-	expect(find({calls: [late], outages: [{host: 0, from: 9000, to: 11_000}]})).toEqual([]);
+test('reports a missing answer unless the host had an outage', () => {
+	const unanswered = call({endedAt: 13_000, outcome: {kind: 'given-up'}});
+	expect(find({calls: [unanswered]})).toEqual(['a host that works answers in time']);
+	expect(find({calls: [unanswered], outages: [{host: 1, from: 9000, to: 11_000}]})).toEqual(['a host that works answers in time']);
+	expect(find({calls: [unanswered], outages: [{host: 0, from: 9000, to: 11_000}]})).toEqual([]);
 });
 
-test('a request lost in an undisturbed shutdown is found', () => {
-	const lost = call({ending: {kind: 'broken', reason: 'reset'}});
-	const stops = [{host: 0, from: 9900, to: 12_000}];
+test('reports a request lost in a graceful shutdown that no fault overlaps', () => {
+	const lost = call({outcome: {kind: 'broken', reason: 'reset'}});
+	const shutdowns = [{host: 0, from: 9900, to: 12_000}];
 	expect(find({calls: [lost]})).toEqual([]);
-	expect(find({calls: [lost], stops})).toEqual(['a graceful shutdown loses no request']);
-	expect(find({calls: [lost], stops, disturbances: [{from: 5000, to: 7500}]})).toEqual([]);
-	expect(find({calls: [call({ending: {kind: 'unsent', reason: 'refused'}})], stops})).toEqual([]);
+	expect(find({calls: [lost], shutdowns})).toEqual(['a graceful shutdown loses no request']);
+	expect(find({calls: [lost], shutdowns, disturbances: [{from: 5000, to: 7500}]})).toEqual([]);
+	expect(find({calls: [call({outcome: {kind: 'unsent', reason: 'refused'}})], shutdowns})).toEqual([]);
 });
 
-test('a seed draws the same faults each time, another seed others', () => {
+test('draws the same faults for the same seed and others for another seed', () => {
 	const size = {hosts: 5, upstreams: 6};
 	expect(drawSchedule(7, size, 12_000)).toEqual(drawSchedule(7, size, 12_000));
 	expect(drawSchedule(7, size, 12_000)).not.toEqual(drawSchedule(8, size, 12_000));
 });
 
-test('all kinds of faults are drawn, within the fleet and the time', () => {
+test('draws faults of all kinds, for existing hosts and within the fault period', () => {
 	const steps = Array.from({length: 40}, (_, seed) => drawSchedule(seed, {hosts: 5, upstreams: 6}, 12_000)).flat();
 	expect(new Set(steps.map(({fault}) => fault.kind)).size).toBe(10);
 	expect(steps.every(({at}) => at < 12_000)).toBe(true);
--- a/packages/soak/src/promises.ts
+++ b/packages/soak/src/promises.ts
@@ -6,126 +6,129 @@
 export type RequestKind = typeof requestKinds[number];
 
 /** How a request ended for its caller. */
-export type Ending
-	/** An answer that the caller took for whole; `isOwn` if its body is what the upstream made for this request. */
+export type Outcome
+	/** The caller received a complete answer; `isOwn` if its body is the one that the upstream sent for this request. */
 	= | {kind: 'answered'; status: number; isOwn: boolean}
-		/** The connection broke, or the answer was cut. */
+		/** The connection broke, or the answer was truncated. */
 		| {kind: 'broken'; reason: string}
-		/** No connection came about, so that no host has seen the request. */
+		/** No connection was established, so that no host received the request. */
 		| {kind: 'unsent'; reason: string}
-		/** Nothing came before the caller left. */
+		/** The caller gave up at its timeout before the answer was complete. */
 		| {kind: 'given-up'};
 
-/** A request as its caller saw it. Times are of the soak's steady clock. */
+/** A request as its caller observed it. Times are of the soak's monotonic clock. */
 export type Call = {
+	/** Unique id of the request. */
 	attempt: string;
 	kind: RequestKind;
 	service: string;
+	/** Index of the host that the request was sent to. */
 	host: number;
 	startedAt: Milliseconds;
 	endedAt: Milliseconds;
-	/** How long the caller was ready to wait. */
-	patience: Milliseconds;
-	ending: Ending;
+	/** Time after which the caller gives up. */
+	timeout: Milliseconds;
+	outcome: Outcome;
 };
 
-/** An upstream that began to run a request. */
-export type Run = {attempt: string; service: string; upstream: string; at: Milliseconds};
+/** The start of a request's execution at an upstream. */
+export type Execution = {attempt: string; service: string; upstream: string; at: Milliseconds};
 
-/** A time in which a host was disturbed or shut down. */
-export type Span = {from: Milliseconds; to: Milliseconds};
+/** A period of time, both ends included. */
+export type Interval = {from: Milliseconds; to: Milliseconds};
 
-/** All that was seen in one play. */
-export type Sightings = {
+/** Everything recorded in one run, from which violations are found. */
+export type Observations = {
 	calls: Call[];
-	runs: Run[];
-	/** Times from SIGTERM to the end of the process, by host. */
-	stops: Array<Span & {host: number}>;
-	/** Times in which anything was disturbed that wasn't planned. */
-	disturbances: Span[];
-	/** Times in which a host's process was paused, killed or starting, by host. */
-	outages: Array<Span & {host: number}>;
+	executions: Execution[];
+	/** Periods from SIGTERM to the exit of a host's process. */
+	shutdowns: Array<Interval & {host: number}>;
+	/** Periods of unplanned faults: a killed host with its restart, a paused host, and faults of links, upstreams and the key-value service. */
+	disturbances: Interval[];
+	/** Periods in which a host's process was shutting down, paused, killed or starting. */
+	outages: Array<Interval & {host: number}>;
 };
 
-/** Something that must not happen, and did. */
-export type Breach = {promise: string; attempt: string; detail: string};
-
-/** Statuses that say that a request has not run and never will. */
-const notRunStatuses = new Set([408, 421, 429, 503]);
-/** Time beyond its patience in which a caller must have an answer of a host that works. */
-const overdueSlack: Milliseconds = 1000;
-/** A disturbance counts for what begins this long after it. */
-const settling: Milliseconds = 3000;
-/** Requests sent in this time after SIGTERM are to be served. */
-const stopOverlap: Milliseconds = 2500;
-/** A request sent this shortly before the process's end may have reached it too late. */
-const lastMoment: Milliseconds = 100;
-
-const overlaps = (span: Span, from: Milliseconds, to: Milliseconds): boolean => span.from <= to && span.to >= from;
-
-const groupRuns = (runs: readonly Run[]): Map<string, Run[]> => {
-	const groups = new Map<string, Run[]>();
-	for (const run of runs) {
-		groups.set(run.attempt, [...(groups.get(run.attempt) ?? []), run]);
+/** A guarantee of the router that was broken for a request. */
+export type Violation = {guarantee: string; attempt: string; detail: string};
+
+/** Statuses that state that a request was not executed and won't be. */
+const notExecutedStatuses = new Set([408, 421, 429, 503]);
+/** Time beyond a caller's timeout within which a working host must have answered. */
+const answerGracePeriod: Milliseconds = 1000;
+/** Time after a fault during which requests still count as affected by it. */
+const disturbanceAftermath: Milliseconds = 3000;
+/** Time after SIGTERM in which a host still accepts requests and must serve them. */
+const shutdownServingPeriod: Milliseconds = 2500;
+/** A request sent within this time before the process exits may arrive too late. */
+const exitMargin: Milliseconds = 100;
+
+const overlaps = (interval: Interval, from: Milliseconds, to: Milliseconds): boolean => interval.from <= to && interval.to >= from;
+
+const groupByAttempt = (executions: readonly Execution[]): Map<string, Execution[]> => {
+	const groups = new Map<string, Execution[]>();
+	for (const execution of executions) {
+		groups.set(execution.attempt, [...(groups.get(execution.attempt) ?? []), execution]);
 	}
 
 	return groups;
 };
 
-const describe = ({kind, host, startedAt, endedAt, ending}: Call): string =>
-	`${kind} at host ${host} from ${Math.round(startedAt)} to ${Math.round(endedAt)}: ${JSON.stringify(ending)}`;
+const describeCall = ({kind, host, startedAt, endedAt, outcome}: Call): string =>
+	`${kind} at host ${host} from ${Math.round(startedAt)} to ${Math.round(endedAt)}: ${JSON.stringify(outcome)}`;
 
-/** Whether a request's connection broke in a graceful shutdown beside which nothing was disturbed. */
-const isLostInStop = (call: Call, {stops, disturbances}: Sightings): boolean => {
-	const {host, startedAt, endedAt, ending} = call;
-	if (ending.kind !== 'broken') {
+/** Returns whether a request's connection broke during a graceful shutdown that no other fault overlapped. */
+const isLostInShutdown = (call: Call, {shutdowns, disturbances}: Observations): boolean => {
+	const {host, startedAt, endedAt, outcome} = call;
+	if (outcome.kind !== 'broken') {
 		return false;
 	}
 
-	const stop = stops.find(span => span.host === host && overlaps(span, startedAt, endedAt)
-		&& startedAt <= span.from + stopOverlap && startedAt < span.to - lastMoment);
-	return stop !== undefined && !disturbances.some(span => overlaps(span, Math.min(startedAt, stop.from) - settling, endedAt));
+	const shutdown = shutdowns.find(interval => interval.host === host && overlaps(interval, startedAt, endedAt)
+		&& startedAt <= interval.from + shutdownServingPeriod && startedAt < interval.to - exitMargin);
+	return shutdown !== undefined && !disturbances.some(interval => overlaps(interval, Math.min(startedAt, shutdown.from) - disturbanceAftermath, endedAt));
 };
 
-const isOverdue = ({host, startedAt, endedAt, patience, ending}: Call, {outages}: Sightings): boolean =>
-	ending.kind === 'given-up'
-	&& endedAt - startedAt > patience + overdueSlack
-	&& !outages.some(span => span.host === host && overlaps(span, startedAt - settling, endedAt));
-
-const checkCall = (call: Call, runs: readonly Run[], sightings: Sightings): Array<Omit<Breach, 'attempt'>> => {
-	const detail = describe(call);
-	const ran = runs.map(({upstream, at}) => `${upstream}@${Math.round(at)}`).join(', ');
-	const breaches: Array<Omit<Breach, 'attempt'>> = [];
-	if (call.kind !== 'lookup' && runs.length > 1) {
-		breaches.push({promise: 'a booking or a stream runs at most once', detail: `${detail}; ran at ${ran}`});
+/** Returns whether a caller gave up, beyond its timeout, on a host whose process was running normally. */
+const isUnanswered = ({host, startedAt, endedAt, timeout, outcome}: Call, {outages}: Observations): boolean =>
+	outcome.kind === 'given-up'
+	&& endedAt - startedAt > timeout + answerGracePeriod
+	&& !outages.some(interval => interval.host === host && overlaps(interval, startedAt - disturbanceAftermath, endedAt));
+
+const checkCall = (call: Call, executions: readonly Execution[], observations: Observations): Array<Omit<Violation, 'attempt'>> => {
+	const detail = describeCall(call);
+	const executedAt = executions.map(({upstream, at}) => `${upstream}@${Math.round(at)}`).join(', ');
+	const violations: Array<Omit<Violation, 'attempt'>> = [];
+	if (call.kind !== 'lookup' && executions.length > 1) {
+		violations.push({guarantee: 'a booking or a stream runs at most once', detail: `${detail}; ran at ${executedAt}`});
 	}
 
-	if (call.ending.kind === 'answered' && notRunStatuses.has(call.ending.status) && runs.length > 0) {
-		breaches.push({promise: 'what is said not to have run has not', detail: `${detail}; ran at ${ran}`});
+	if (call.outcome.kind === 'answered' && notExecutedStatuses.has(call.outcome.status) && executions.length > 0) {
+		violations.push({guarantee: 'what is said not to have run has not', detail: `${detail}; ran at ${executedAt}`});
 	}
 
-	if (call.ending.kind === 'answered' && call.ending.status < 300 && !call.ending.isOwn) {
-		breaches.push({promise: 'an answer is whole and belongs to its request', detail});
+	if (call.outcome.kind === 'answered' && call.outcome.status < 300 && !call.outcome.isOwn) {
+		violations.push({guarantee: 'an answer is whole and belongs to its request', detail});
 	}
 
-	if (runs.some(({service}) => service !== call.service)) {
-		breaches.push({promise: 'a request runs at its own service', detail: `${detail}; ran at ${ran}`});
+	if (executions.some(({service}) => service !== call.service)) {
+		violations.push({guarantee: 'a request runs at its own service', detail: `${detail}; ran at ${executedAt}`});
 	}
 
-	if (isOverdue(call, sightings)) {
-		breaches.push({promise: 'a host that works answers in time', detail});
+	if (isUnanswered(call, observations)) {
+		violations.push({guarantee: 'a host that works answers in time', detail});
 	}
 
-	if (isLostInStop(call, sightings)) {
-		breaches.push({promise: 'a graceful shutdown loses no request', detail});
+	if (isLostInShutdown(call, observations)) {
+		violations.push({guarantee: 'a graceful shutdown loses no request', detail});
 	}
 
-	return breaches;
+	return violations;
 };
 
-/** Finds what must not have happened. */
-export const findBreaches = (sightings: Sightings): Breach[] => {
-	const runs = groupRuns(sightings.runs);
-	return sightings.calls.flatMap(call =>
-		checkCall(call, runs.get(call.attempt) ?? [], sightings).map(breach => ({attempt: call.attempt, ...breach})));
+/** Finds the guarantees that were broken, by request. */
+export const findViolations = (observations: Observations): Violation[] => {
+	const executionsByAttempt = groupByAttempt(observations.executions);
+	return observations.calls.flatMap(call =>
+		checkCall(call, executionsByAttempt.get(call.attempt) ?? [], observations).map(violation => ({attempt: call.attempt, ...violation})));
 };
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -2,93 +2,98 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {LinkState} from './link.js';
 
-/** Troubles of the key-value service. */
-export const storeTroubles = ['slow', 'refusing', 'losing-answers', 'silent', 'forgetful'] as const;
-/** One of `storeTroubles`. */
-export type StoreTrouble = typeof storeTroubles[number];
+/** Failure modes of the key-value service; `forgetful` loses the history of changes. */
+export const storeFailureModes = ['slow', 'refusing', 'losing-answers', 'silent', 'forgetful'] as const;
+/** One of `storeFailureModes`. */
+export type StoreTrouble = typeof storeFailureModes[number];
 
-/** Troubles of an upstream. */
-export const upstreamTroubles = ['crash', 'return-as-other', 'leave', 'slow', 'extra-bytes', 'truncating', 'full', 'failing', 'mute', 'idle-resets'] as const;
-/** One of `upstreamTroubles`. */
-export type UpstreamTrouble = typeof upstreamTroubles[number];
+/** Failure modes of an upstream. After `return-as-other` it restarts under another id, after `crash` under the same one; `mute` executes requests without answering, `extra-bytes` sends an unsolicited answer. */
+export const upstreamFailureModes = ['crash', 'return-as-other', 'leave', 'slow', 'extra-bytes', 'truncating', 'full', 'failing', 'mute', 'idle-resets'] as const;
+/** One of `upstreamFailureModes`. */
+export type UpstreamFailureMode = typeof upstreamFailureModes[number];
 
-/** What happens to a part of the fleet; numbers name hosts and upstreams. */
+/** A fault of a part of the fleet; hosts and upstreams are named by index. */
 export type Fault
-	/** SIGTERM, and a new start once the process has ended. */
+	/** SIGTERM, and a restart once the process has exited. */
 	= | {kind: 'host-stop'; host: number}
+		/** SIGKILL, and a restart after the time `down`. */
 		| {kind: 'host-kill'; host: number; down: Milliseconds}
-		| {kind: 'host-pause'; host: number; length: Milliseconds}
-		/** New settings in the file, with a signal or without one. */
+		/** SIGSTOP, and SIGCONT after the duration. */
+		| {kind: 'host-pause'; host: number; duration: Milliseconds}
+		/** The settings file written again, with or without a signal to reload it. */
 		| {kind: 'host-reload'; host: number; isSignalled: boolean}
-		| {kind: 'store-link'; host: number; state: LinkState; length: Milliseconds}
-		| {kind: 'upstream-link'; upstream: number; state: LinkState; length: Milliseconds}
-		| {kind: 'store'; trouble: StoreTrouble; length: Milliseconds}
-		| {kind: 'upstream'; upstream: number; trouble: UpstreamTrouble; length: Milliseconds}
-		/** Configurations in quick succession. */
+		/** A fault of the link between a host and the key-value service. */
+		| {kind: 'store-link'; host: number; state: LinkState; duration: Milliseconds}
+		/** A fault of the link between all hosts and an upstream. */
+		| {kind: 'upstream-link'; upstream: number; state: LinkState; duration: Milliseconds}
+		| {kind: 'store'; mode: StoreTrouble; duration: Milliseconds}
+		| {kind: 'upstream'; upstream: number; mode: UpstreamFailureMode; duration: Milliseconds}
+		/** Several new versions of the configuration in quick succession. */
 		| {kind: 'configurations'; count: number}
-		| {kind: 'burst'; factor: number; length: Milliseconds};
+		/** A request rate that is raised by a factor. */
+		| {kind: 'burst'; factor: number; duration: Milliseconds};
 
-/** A fault and when it begins. */
+/** A fault and the time, from the start of the run's faults, at which it begins. */
 export type Step = {at: Milliseconds; fault: Fault};
 
-/** How large the fleet is that faults are drawn for. */
+/** Numbers of hosts and upstreams that faults are drawn for. */
 export type FleetSize = {hosts: number; upstreams: number};
 
-/** Mean time between the beginnings of two faults; they overlap, as most last longer. */
-const meanGap: Milliseconds = 500;
-const shortest: Milliseconds = 300;
-const longest: Milliseconds = 4000;
+/** Mean time between the starts of two faults; faults overlap, as most last longer. */
+const meanFaultInterval: Milliseconds = 500;
+const minFaultDuration: Milliseconds = 300;
+const maxFaultDuration: Milliseconds = 4000;
 
-const pickOne = <Item>(random: Random, items: readonly [Item, ...Item[]]): Item => random.pick(items) ?? items[0];
+const pickItem = <Item>(random: Random, items: readonly [Item, ...Item[]]): Item => random.pick(items) ?? items[0];
 
-const drawLength = (random: Random): Milliseconds => Math.round(shortest + (random.next() * (longest - shortest)));
+const drawDuration = (random: Random): Milliseconds => Math.round(minFaultDuration + (random.next() * (maxFaultDuration - minFaultDuration)));
 
-const drawLink = (random: Random): LinkState => pickOne<LinkState>(random, [
+const drawLinkState = (random: Random): LinkState => pickItem<LinkState>(random, [
 	{kind: 'delayed', delay: Math.round(20 + (random.next() * 400))}, {kind: 'reset'}, {kind: 'silent'}, {kind: 'one-way'},
 ]);
 
 const drawFault = (random: Random, size: FleetSize): Fault => {
 	const host = Math.floor(random.next() * size.hosts);
 	const upstream = Math.floor(random.next() * size.upstreams);
-	const length = drawLength(random);
+	const duration = drawDuration(random);
 	const drawUpstreamFault = (): Fault => ({
-		kind: 'upstream', upstream, trouble: pickOne(random, upstreamTroubles), length,
+		kind: 'upstream', upstream, mode: pickItem(random, upstreamFailureModes), duration,
 	});
-	// A kind that stands twice comes twice as often.
-	return pickOne<() => Fault>(random, [
+	// A kind that is listed n times is drawn n times as often.
+	return pickItem<() => Fault>(random, [
 		() => ({kind: 'host-stop', host}),
 		() => ({kind: 'host-stop', host}),
-		() => ({kind: 'host-kill', host, down: length}),
-		() => ({kind: 'host-kill', host, down: length}),
-		() => ({kind: 'host-pause', host, length}),
-		() => ({kind: 'host-pause', host, length}),
+		() => ({kind: 'host-kill', host, down: duration}),
+		() => ({kind: 'host-kill', host, down: duration}),
+		() => ({kind: 'host-pause', host, duration}),
+		() => ({kind: 'host-pause', host, duration}),
 		() => ({kind: 'host-reload', host, isSignalled: random.next() < 0.5}),
 		() => ({
-			kind: 'store-link', host, state: drawLink(random), length,
+			kind: 'store-link', host, state: drawLinkState(random), duration,
 		}),
 		() => ({
-			kind: 'upstream-link', upstream, state: drawLink(random), length,
+			kind: 'upstream-link', upstream, state: drawLinkState(random), duration,
 		}),
 		() => ({
-			kind: 'upstream-link', upstream, state: drawLink(random), length,
+			kind: 'upstream-link', upstream, state: drawLinkState(random), duration,
 		}),
-		() => ({kind: 'store', trouble: pickOne(random, storeTroubles), length}),
+		() => ({kind: 'store', mode: pickItem(random, storeFailureModes), duration}),
 		drawUpstreamFault,
 		drawUpstreamFault,
 		drawUpstreamFault,
 		drawUpstreamFault,
 		() => ({kind: 'configurations', count: 1 + Math.floor(random.next() * 4)}),
-		() => ({kind: 'burst', factor: 2 + Math.floor(random.next() * 4), length}),
+		() => ({kind: 'burst', factor: 2 + Math.floor(random.next() * 4), duration}),
 	])();
 };
 
-/** Draws the faults of a seed; the same seed gives the same faults. */
-export const drawSchedule = (seed: number, size: FleetSize, length: Milliseconds): Step[] => {
+/** Draws the faults of a seed within the fault period; the same seed gives the same faults. */
+export const drawSchedule = (seed: number, size: FleetSize, faultPeriod: Milliseconds): Step[] => {
 	const random = createRandom(seed);
 	const steps: Step[] = [];
 	for (let at = 0; ;) {
-		at += Math.round(-Math.log(1 - random.next()) * meanGap);
-		if (at >= length) {
+		at += Math.round(-Math.log(1 - random.next()) * meanFaultInterval);
+		if (at >= faultPeriod) {
 			return steps;
 		}
 
--- a/packages/soak/src/store-contents.ts
+++ b/packages/soak/src/store-contents.ts
@@ -1,58 +1,62 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** An item of the key-value service; a lease of 0 is none. */
+/** An item of the key-value service; `created` is the revision that created it, a `lease` of 0 means none. */
 export type StoredItem = {key: string; value: string; revision: number; created: number; lease: number};
 
-/** A change, in the order of revisions. */
+/** A change of an item; each change has its own revision. */
 export type StoredEvent = {kind: 'written'; item: StoredItem} | {kind: 'removed'; key: string; revision: number};
 
-/** Writes that take place together if the items still have the revisions expected; 0 stands for no item. */
+/** Writes that are applied atomically if all items still have the expected revisions; 0 stands for a missing item. */
 export type Transaction = {
 	expect: Array<{key: string; revision: number}>;
 	write: Array<{key: string; value: string; lease: number}>;
 	remove: string[];
 };
 
-/** Contents of a key-value service in memory. */
+/** In-memory contents of a fake key-value service. */
 export type StoreContents = {
 	getItems: () => StoredItem[];
 	getRevision: () => number;
 	put: (key: string, value: string, lease?: number) => void;
 	remove: (key: string) => void;
-	/** Resolves when there are changes after the revision, or after the limit; undefined if their history is lost. */
+	/** Resolves with the changes after the revision, once there are any or the time limit has passed; undefined if some were compacted. */
 	watch: (after: number, limit: Milliseconds) => Promise<StoredEvent[] | undefined>;
-	/** Items whose revision isn't the one expected; none if the transaction took place. */
+	/** Applies the transaction; otherwise returns the current items of the keys whose revision isn't the expected one. */
 	commit: (transaction: Transaction) => StoredItem[] | undefined;
+	/** Returns the id of a new lease. */
 	grantLease: (duration: Milliseconds) => number;
-	/** Duration of the lease; undefined if it has ended. */
+	/** Renews a lease and returns its duration; undefined if it has ended. */
 	renewLease: (lease: number) => Milliseconds | undefined;
+	/** Ends a lease and removes its items. */
 	endLease: (lease: number) => void;
+	/** Discards the history, so that a watch from an earlier revision gets undefined. */
 	forgetHistory: () => void;
 	close: () => void;
 };
 
-const leaseCheck: Milliseconds = 100;
+/** Interval at which expired leases are ended. */
+const leaseCheckInterval: Milliseconds = 100;
 
-const getRevisionOf = (event: StoredEvent): number => event.kind === 'written' ? event.item.revision : event.revision;
+const getEventRevision = (event: StoredEvent): number => event.kind === 'written' ? event.item.revision : event.revision;
 
-/** Creates empty contents. */
+/** Creates empty contents at revision 1. */
 export const createStoreContents = (): StoreContents => {
 	const items = new Map<string, StoredItem>();
 	const leases = new Map<number, {expiresAt: Milliseconds; duration: Milliseconds}>();
-	const waiting = new Set<() => void>();
+	const watchers = new Set<() => void>();
 	let events: StoredEvent[] = [];
 	let revision = 1;
-	/** Changes up to this one can't be told any more. */
-	let lostRevision = 0;
+	/** Changes up to this revision are no longer in the history. */
+	let compactedRevision = 0;
 	let lastLease = 0;
 
-	const wake = (): void => {
-		for (const resolve of waiting) {
+	const notifyWatchers = (): void => {
+		for (const resolve of watchers) {
 			resolve();
 		}
 
-		waiting.clear();
+		watchers.clear();
 	};
 
 	const put = (key: string, value: string, lease = 0): void => {
@@ -62,14 +66,14 @@
 		};
 		items.set(key, item);
 		events.push({kind: 'written', item});
-		wake();
+		notifyWatchers();
 	};
 
 	const remove = (key: string): void => {
 		if (items.delete(key)) {
 			revision += 1;
 			events.push({kind: 'removed', key, revision});
-			wake();
+			notifyWatchers();
 		}
 	};
 
@@ -88,7 +92,7 @@
 				endLease(lease);
 			}
 		}
-	}, leaseCheck);
+	}, leaseCheckInterval);
 
 	return {
 		getItems: () => [...items.values()],
@@ -97,14 +101,14 @@
 		remove,
 		endLease,
 		async watch(after, limit) {
-			const getEvents = (): StoredEvent[] => events.filter(event => getRevisionOf(event) > after);
-			if (after >= lostRevision && getEvents().length === 0) {
+			const getEvents = (): StoredEvent[] => events.filter(event => getEventRevision(event) > after);
+			if (after >= compactedRevision && getEvents().length === 0) {
 				await Promise.race([sleep(limit), new Promise<void>(resolve => {
-					waiting.add(resolve);
+					watchers.add(resolve);
 				})]);
 			}
 
-			return after < lostRevision ? undefined : getEvents();
+			return after < compactedRevision ? undefined : getEvents();
 		},
 		commit(transaction) {
 			const changed = transaction.expect.filter(({key, revision: expected}) => (items.get(key)?.revision ?? 0) !== expected);
@@ -128,17 +132,17 @@
 			return lastLease;
 		},
 		renewLease(lease) {
-			const known = leases.get(lease);
-			if (known !== undefined) {
-				known.expiresAt = performance.now() + known.duration;
+			const existing = leases.get(lease);
+			if (existing !== undefined) {
+				existing.expiresAt = performance.now() + existing.duration;
 			}
 
-			return known?.duration;
+			return existing?.duration;
 		},
 		forgetHistory() {
-			lostRevision = revision;
+			compactedRevision = revision;
 			events = [];
-			wake();
+			notifyWatchers();
 		},
 		close() {
 			clearInterval(timer);
--- a/packages/soak/src/traffic.ts
+++ b/packages/soak/src/traffic.ts
@@ -4,41 +4,42 @@
 import type {Fleet} from './fleet.js';
 import {requestKinds, type Call, type RequestKind} from './promises.js';
 
-/** Callers that send requests all the time. */
+/** A running load of requests. */
 export type Traffic = {
-	/** Stops sending; resolves when all requests have ended. */
+	/** Stops sending; resolves when all open requests have ended. */
 	stop: () => Promise<void>;
 };
 
-/** What traffic works with. */
+/** Options of the load. */
 export type TrafficOptions = {
 	fleet: Fleet;
 	deployment: Deployment;
 	callers: Callers;
 	clock: Clock;
 	random: Random;
-	/** Marks the attempts of this play. */
-	prefix: string;
-	getFactor: () => number;
+	/** Prefix of the request ids of this run. */
+	attemptPrefix: string;
+	/** Returns the current factor on the rate of requests. */
+	getRateFactor: () => number;
 	onCall: (call: Call) => void;
 };
 
-/** Mean time between two requests of all callers. */
-const meanGap: Milliseconds = 8;
-/** Requests without an answer beyond which callers wait. */
-const mostOpen = 400;
-/** Time for which callers keep an answer to the question where to connect. */
+/** Mean time between two requests at rate factor 1, over all callers. */
+const meanSendInterval: Milliseconds = 8;
+/** Number of open requests at which no more are sent. */
+const maxOpenRequests = 400;
+/** Time after which callers ask again which hosts to connect to. */
 const resolveInterval: Milliseconds = 1000;
 
-const patience: Record<RequestKind, Milliseconds> = {booking: 1500, lookup: 1500, stream: 5000};
+const requestTimeouts: Record<RequestKind, Milliseconds> = {booking: 1500, lookup: 1500, stream: 5000};
 
-/** Callers use what a host tells them, and any host while none does. */
-const createDirectory = ({fleet, callers, clock, random}: TrafficOptions) => {
+/** Picks a random address among those that a host last returned to callers, or any host's while none has answered. */
+const createAddressPicker = ({fleet, callers, clock, random}: TrafficOptions) => {
 	const known: {addresses: Address[]; at: Milliseconds} = {addresses: [], at: Number.NEGATIVE_INFINITY};
 	const refresh = async (): Promise<void> => {
 		known.at = clock.monotonic();
 		const host = random.pick(fleet.hosts);
-		const addresses = host === undefined ? [] : await callers.resolve(host.plan.ip);
+		const addresses = host === undefined ? [] : await callers.resolve(host.options.ip);
 		known.addresses = addresses.length > 0 ? addresses : known.addresses;
 	};
 
@@ -47,51 +48,51 @@
 			void refresh();
 		}
 
-		return random.pick(known.addresses) ?? random.pick(fleet.hosts)?.callers;
+		return random.pick(known.addresses) ?? random.pick(fleet.hosts)?.callerAddress;
 	};
 };
 
-/** Starts to send requests. */
+/** Starts an open-loop load with exponentially distributed intervals. */
 export const startTraffic = (options: TrafficOptions): Traffic => {
 	const {
-		fleet, deployment, callers, clock, random, prefix, getFactor, onCall,
+		fleet, deployment, callers, clock, random, attemptPrefix, getRateFactor, onCall,
 	} = options;
-	const pickAddress = createDirectory(options);
-	const open = new Set<Promise<void>>();
+	const pickAddress = createAddressPicker(options);
+	const openRequests = new Set<Promise<void>>();
 	let sent = 0;
 	const state = {isStopped: false};
 
 	const sendOne = async (): Promise<void> => {
 		const address = pickAddress();
 		const kind = random.pick(requestKinds);
-		const host = fleet.hosts.findIndex(item => item.callers === address);
+		const host = fleet.hosts.findIndex(item => item.callerAddress === address);
 		if (address === undefined || kind === undefined || host === -1) {
 			return;
 		}
 
 		sent += 1;
-		const attempt = `${prefix}-${sent}`;
+		const attempt = `${attemptPrefix}-${sent}`;
 		const startedAt = clock.monotonic();
-		const ending = await callers.send({
-			attempt, kind, address, patience: patience[kind],
+		const outcome = await callers.send({
+			attempt, kind, address, patience: requestTimeouts[kind],
 		});
 		onCall({
-			attempt, kind, service: deployment.services[kind], host, startedAt, endedAt: clock.monotonic(), patience: patience[kind], ending,
+			attempt, kind, service: deployment.services[kind], host, startedAt, endedAt: clock.monotonic(), timeout: requestTimeouts[kind], outcome,
 		});
 	};
 
 	const run = async (): Promise<void> => {
 		while (!state.isStopped) {
-			if (open.size < mostOpen) {
+			if (openRequests.size < maxOpenRequests) {
 				const call = sendOne();
-				open.add(call);
+				openRequests.add(call);
 				void call.finally(() => {
-					open.delete(call);
+					openRequests.delete(call);
 				});
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- A pause between requests.
-			await clock.sleep(-Math.log(1 - random.next()) * meanGap / getFactor());
+			// eslint-disable-next-line no-await-in-loop -- The interval between two requests.
+			await clock.sleep(-Math.log(1 - random.next()) * meanSendInterval / getRateFactor());
 		}
 	};
 
@@ -100,7 +101,7 @@
 		async stop() {
 			state.isStopped = true;
 			await finished;
-			await Promise.all(open);
+			await Promise.all(openRequests);
 		},
 	};
 };
