--- a/packages/soak/src/command.ts
+++ b/packages/soak/src/command.ts
@@ -6,7 +6,7 @@
 import {createSystemClock} from '@gentianlift/clock';
 import type {Deployment} from './deployment.js';
 import {regressionCases} from './kept-cases.js';
-import {runSeed, type SeedRunOptions, type SeedRunReport} from './play.js';
+import {runSeed, type SeedRunOptions, type SeedRunReport} from './run-seed.js';
 
 /** A run of the soak that is still to be started. */
 type SeedRun = Pick<SeedRunOptions, 'seed' | 'steps'>;
--- a/packages/soak/src/deployment.ts
+++ b/packages/soak/src/deployment.ts
@@ -1,6 +1,6 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
-import type {Call, RequestKind, Execution} from './promises.js';
-import type {Command} from './program.js';
+import type {Call, RequestKind, Execution} from './guarantees.js';
+import type {Command} from './host-process.js';
 import type {StoreTrouble, UpstreamFailureMode} from './schedule.js';
 
 /** A fake of the key-value service. */
--- a/packages/soak/src/exchange.ts
+++ b/packages/soak/src/exchange.ts
@@ -2,7 +2,7 @@
 	request, type ClientRequest, type IncomingMessage, type RequestOptions,
 } from 'node:http';
 import type {Milliseconds} from '@gentianlift/types';
-import type {Outcome} from './promises.js';
+import type {Outcome} from './guarantees.js';
 
 const readText = async (message: IncomingMessage): Promise<string> => {
 	message.setEncoding('utf8');
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -3,8 +3,8 @@
 	Deployment, HostPlan, StoreStandIn, FakeUpstream,
 } from './deployment.js';
 import {openLink, type Link} from './link.js';
-import {createHostProcess, type HostProcess} from './program.js';
-import type {Execution} from './promises.js';
+import {createHostProcess, type HostProcess} from './host-process.js';
+import type {Execution} from './guarantees.js';
 
 /** A host's process with its link to the key-value service; `hasActiveFault` while a fault stops, kills or pauses it. */
 export type SoakHost = {options: HostPlan; hostProcess: HostProcess; storeLink: Link; callerAddress: Address; hasActiveFault: boolean};
--- a/packages/soak/src/promises.test.ts
+++ b/packages/soak/src/guarantees.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {
 	findViolations, type Call, type Execution, type Observations,
-} from './promises.js';
+} from './guarantees.js';
 import {drawSchedule} from './schedule.js';
 
 const call = (changes: Partial<Call> = {}): Call => ({
--- a/packages/soak/src/injector.ts
+++ b/packages/soak/src/injector.ts
@@ -3,7 +3,7 @@
 import type {Deployment} from './deployment.js';
 import type {Fleet, SoakHost} from './fleet.js';
 import type {Link, LinkState} from './link.js';
-import type {Observations} from './promises.js';
+import type {Observations} from './guarantees.js';
 import type {Fault} from './schedule.js';
 
 /** Injects faults into a fleet. */
--- a/packages/soak/src/play.ts
+++ b/packages/soak/src/run-seed.ts
@@ -5,7 +5,7 @@
 import type {Callers, Deployment} from './deployment.js';
 import {startFleet, type Fleet, type SoakHost} from './fleet.js';
 import {createInjector, type Injector} from './injector.js';
-import {findViolations, type Violation, type Observations} from './promises.js';
+import {findViolations, type Violation, type Observations} from './guarantees.js';
 import {drawSchedule, type Step} from './schedule.js';
 import {startTraffic} from './traffic.js';
 
--- a/packages/soak/src/traffic.ts
+++ b/packages/soak/src/traffic.ts
@@ -2,7 +2,7 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
 import type {Callers, Deployment} from './deployment.js';
 import type {Fleet} from './fleet.js';
-import {requestKinds, type Call, type RequestKind} from './promises.js';
+import {requestKinds, type Call, type RequestKind} from './guarantees.js';
 
 /** A running load of requests. */
 export type Traffic = {
