--- a/packages/trial/src/commands/create-address-book.ts
+++ b/packages/trial/src/commands/create-address-book.ts
@@ -1,18 +1,18 @@
 import type {Clock, Random} from '@gentianlift/clock';
 import type {Address, HostAnswer} from '@gentianlift/types';
 
-/** A caller's knowledge of which addresses to use. */
-export type AddressBook = {
-	/** Picks an address by weight, asking again once the answer has aged. */
+/** Chooses the host that a caller connects to. */
+export type HostPicker = {
+	/** Picks an address at random by the weights of the host list, which is fetched again once its time to live has passed. */
 	pick: () => Promise<Address>;
 };
 
-const getPick = (answer: HostAnswer, random: Random): Address | undefined => {
+const pickByWeight = (answer: HostAnswer, random: Random): Address | undefined => {
 	const total = answer.hosts.reduce((sum, {weight}) => sum + weight, 0);
-	let left = random.next() * total;
+	let remaining = random.next() * total;
 	const found = answer.hosts.find(({weight}) => {
-		left -= weight;
-		return left < 0;
+		remaining -= weight;
+		return remaining < 0;
 	});
 	return (found ?? answer.hosts[0])?.address;
 };
@@ -26,32 +26,32 @@
 	}
 };
 
-/** Creates an address book that starts from some known addresses. */
-export const createAddressBook = (known: Address[], clock: Clock, random: Random): AddressBook => {
+/** Creates a host picker; it fetches the first host list from one of the known addresses, and falls back to them. */
+export const createHostPicker = (knownAddresses: Address[], clock: Clock, random: Random): HostPicker => {
 	let answer: HostAnswer | undefined;
-	let askAt = 0;
-	let pending: Promise<void> | undefined;
+	let refreshAt = 0;
+	let pendingRefresh: Promise<void> | undefined;
 
-	const ask = async (): Promise<void> => {
-		const address = answer === undefined ? undefined : getPick(answer, random);
-		const next = await readHosts(address ?? random.pick(known) ?? '') ?? await readHosts(random.pick(known) ?? '');
+	const refresh = async (): Promise<void> => {
+		const address = answer === undefined ? undefined : pickByWeight(answer, random);
+		const next = await readHosts(address ?? random.pick(knownAddresses) ?? '') ?? await readHosts(random.pick(knownAddresses) ?? '');
 		if (next !== undefined && next.hosts.length > 0) {
 			answer = next;
-			askAt = clock.monotonic() + next.timeToLive;
+			refreshAt = clock.monotonic() + next.timeToLive;
 		}
 
-		pending = undefined;
+		pendingRefresh = undefined;
 	};
 
 	return {
 		async pick() {
-			if (clock.monotonic() >= askAt) {
-				pending ??= ask();
-				await pending;
+			if (clock.monotonic() >= refreshAt) {
+				pendingRefresh ??= refresh();
+				await pendingRefresh;
 			}
 
-			const address = answer === undefined ? undefined : getPick(answer, random);
-			return address ?? random.pick(known) ?? '';
+			const address = answer === undefined ? undefined : pickByWeight(answer, random);
+			return address ?? random.pick(knownAddresses) ?? '';
 		},
 	};
 };
--- a/packages/trial/src/commands/publish-configuration.ts
+++ b/packages/trial/src/commands/publish-configuration.ts
@@ -1,10 +1,10 @@
 import type {FakeKeyValue} from '@gentianlift/fakes';
 import type {Configuration, ConfigurationVersion, Milliseconds} from '@gentianlift/types';
 
-/** Key of the configuration in force. */
+/** Key of the active configuration in the key-value service. */
 export const currentKey = 'configuration/current';
 
-/** Writes the first configuration into an empty key-value service. */
+/** Writes version 1 of the configuration into an empty key-value service. */
 export const publishConfiguration = (keyValue: FakeKeyValue, configuration: Configuration, now: Milliseconds): ConfigurationVersion => {
 	const first: ConfigurationVersion = {
 		version: 1, token: 'trial-1', author: 'trial', acceptedAt: now, note: 'First configuration of the trial', configuration,
--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -5,55 +5,58 @@
 	Address, ClassName, CustomerId, Milliseconds, RequestId, RunState,
 } from '@gentianlift/types';
 import type {Arrival} from '../queries/get-arrivals.js';
-import {createAddressBook, type AddressBook} from './create-address-book.js';
+import {createHostPicker, type HostPicker} from './create-address-book.js';
 import type {Deployment} from './start-deployment.js';
 import {sendRequest, type Reply} from './send-request.js';
 
-/** What became of one request of a caller, with its retries. */
+/** Result of one request of a caller, including its retries. */
 export type CallRecord = {
 	className: ClassName;
 	customer: CustomerId;
-	/** Moment of arrival from the start of the load; times below count from it. */
+	/** Scheduled time of the request, from the start of the load; the times below count from it. */
 	at: Milliseconds;
 	outcome: 'complete' | 'wrong' | 'failed';
-	/** Error kinds of the attempts that failed, in order. */
+	/** Error kinds of the failed attempts, in order. */
 	errors: string[];
 	retries: number;
 	status: number;
 	ran: RunState;
 	request: RequestId;
+	/** Time to the first token, or to the first byte of the body. */
 	firstAfter?: Milliseconds;
+	/** Time to the end of the answer, or to the last attempt's failure. */
 	wholeAfter: Milliseconds;
-	/** Mean time between tokens. */
+	/** Mean inter-token latency. */
 	betweenTokens?: Milliseconds;
 	tokens: number;
 	idempotencyKey?: string;
 };
 
-/** Counts of a load while it runs. */
+/** Progress of a running load; `seconds` since its start, the rest are numbers of requests. */
 export type LoadProgress = {seconds: number; sent: number; open: number; complete: number; failed: number};
 
-/** How a load is run. */
+/** Options of a load. */
 export type LoadOptions = {
 	deployment: Pick<Deployment, 'keys' | 'clock'> & {routers: Array<{settings: {callerAddress: Address}}>};
 	arrivals: Arrival[];
 	seed: number;
-	/** Attempts after the first. */
+	/** Maximum number of attempts after the first. */
 	retries?: number;
-	/** Longest time without a byte that a caller waits. */
+	/** Time without a byte after which a caller aborts an attempt. */
 	timeout?: Milliseconds;
 	onProgress?: (progress: LoadProgress) => void;
 };
 
-type Caller = {clock: Clock; random: Random; book: AddressBook; agent: Agent; options: LoadOptions; startedAt: Milliseconds};
+type Caller = {clock: Clock; random: Random; hostPicker: HostPicker; agent: Agent; options: LoadOptions; startedAt: Milliseconds};
 
 const defaultRetries = 2;
 const defaultTimeout: Milliseconds = 60_000;
-const defaultPause: Milliseconds = 500;
+const defaultRetryDelay: Milliseconds = 500;
 const progressInterval: Milliseconds = 5000;
 const millisecondsPerSecond = 1000;
 
-const isRight = ({prompt}: Arrival, reply: Reply): boolean => {
+/** Returns whether a complete answer has the text that the fake engine generates for the prompt. */
+const isExpectedAnswer = ({prompt}: Arrival, reply: Reply): boolean => {
 	if (prompt === undefined) {
 		return true;
 	}
@@ -67,10 +70,11 @@
 		return 'failed';
 	}
 
-	return isRight(arrival, reply) ? 'complete' : 'wrong';
+	return isExpectedAnswer(arrival, reply) ? 'complete' : 'wrong';
 };
 
-const isRetryOfUse = (arrival: Arrival, reply: Reply): boolean => {
+/** Returns whether a caller retries a failed attempt: with an idempotency key unless the answer forbids it, otherwise if the request is a GET, the answer invites a retry or the connection failed. */
+const isRetryable = (arrival: Arrival, reply: Reply): boolean => {
 	if (arrival.idempotencyKey !== undefined) {
 		return reply.retry !== 'never';
 	}
@@ -79,12 +83,12 @@
 };
 
 const sendWithRetries = async (arrival: Arrival, caller: Caller): Promise<{reply: Reply; errors: string[]}> => {
-	const {options, clock, random, agent, book} = caller;
+	const {options, clock, random, agent, hostPicker} = caller;
 	const errors: string[] = [];
-	/* eslint-disable no-await-in-loop -- Attempts come one after another. */
+	/* eslint-disable no-await-in-loop -- Each attempt depends on the outcome of the previous one. */
 	for (;;) {
 		const target = {
-			address: await book.pick(), key: options.deployment.keys.get(arrival.customer) ?? '', agent, clock, timeout: options.timeout ?? defaultTimeout,
+			address: await hostPicker.pick(), key: options.deployment.keys.get(arrival.customer) ?? '', agent, clock, timeout: options.timeout ?? defaultTimeout,
 		};
 		const reply = await sendRequest(arrival, target);
 		if (reply.error === undefined) {
@@ -92,16 +96,16 @@
 		}
 
 		errors.push(reply.error);
-		if (errors.length > (options.retries ?? defaultRetries) || !isRetryOfUse(arrival, reply)) {
+		if (errors.length > (options.retries ?? defaultRetries) || !isRetryable(arrival, reply)) {
 			return {reply, errors};
 		}
 
-		await clock.sleep((reply.retryAfter ?? defaultPause) * (0.5 + random.next()));
+		await clock.sleep((reply.retryAfter ?? defaultRetryDelay) * (0.5 + random.next()));
 	}
 	/* eslint-enable no-await-in-loop */
 };
 
-const getRecord = (arrival: Arrival, due: Milliseconds, reply: Reply, errors: string[]): CallRecord => {
+const getRecord = (arrival: Arrival, dueAt: Milliseconds, reply: Reply, errors: string[]): CallRecord => {
 	const outcome = getOutcome(arrival, reply);
 	const {firstAt, lastAt, tokens} = reply;
 	return {
@@ -114,8 +118,8 @@
 		status: reply.status,
 		ran: reply.ran,
 		request: reply.request,
-		...(firstAt !== undefined && {firstAfter: firstAt - due}),
-		wholeAfter: lastAt - due,
+		...(firstAt !== undefined && {firstAfter: firstAt - dueAt}),
+		wholeAfter: lastAt - dueAt,
 		...(firstAt !== undefined && tokens > 1 && {betweenTokens: (lastAt - firstAt) / (tokens - 1)}),
 		tokens,
 		...(arrival.idempotencyKey !== undefined && {idempotencyKey: arrival.idempotencyKey}),
@@ -123,10 +127,10 @@
 };
 
 const runCall = async (arrival: Arrival, caller: Caller): Promise<CallRecord> => {
-	const due = caller.startedAt + arrival.at;
-	await caller.clock.sleep(Math.max(0, due - caller.clock.monotonic()));
+	const dueAt = caller.startedAt + arrival.at;
+	await caller.clock.sleep(Math.max(0, dueAt - caller.clock.monotonic()));
 	const {reply, errors} = await sendWithRetries(arrival, caller);
-	return getRecord(arrival, due, reply, errors);
+	return getRecord(arrival, dueAt, reply, errors);
 };
 
 const getProgress = (arrivals: Arrival[], records: CallRecord[], elapsed: Milliseconds): LoadProgress => {
@@ -137,7 +141,7 @@
 	};
 };
 
-/** Sends all arrivals at their times, whatever becomes of earlier ones, and waits for the last answer. */
+/** Runs an open-loop load: sends each request at its scheduled time, whether or not earlier ones have ended, and waits for the last answer. */
 export const runLoad = async (options: LoadOptions): Promise<CallRecord[]> => {
 	const {deployment, arrivals} = options;
 	const {clock} = deployment;
@@ -145,7 +149,7 @@
 	const addresses = deployment.routers.map(({settings}) => settings.callerAddress);
 	const agent = new Agent({keepAlive: true});
 	const caller: Caller = {
-		clock, random, agent, options, book: createAddressBook(addresses, clock, random), startedAt: clock.monotonic(),
+		clock, random, agent, options, hostPicker: createHostPicker(addresses, clock, random), startedAt: clock.monotonic(),
 	};
 	const records: CallRecord[] = [];
 	const {every} = clock;
--- a/packages/trial/src/commands/send-request.ts
+++ b/packages/trial/src/commands/send-request.ts
@@ -5,36 +5,36 @@
 import type {Address, Milliseconds, RunState} from '@gentianlift/types';
 import type {Arrival} from '../queries/get-arrivals.js';
 
-/** How one attempt of a caller ended. */
+/** Result of one attempt of a caller. */
 export type Reply = {
-	/** 0 if the connection failed before an answer. */
+	/** HTTP status; 0 if the connection failed before an answer. */
 	status: number;
-	/** True once the terminal event, or the whole body, has arrived. */
+	/** Whether the terminal event, or the complete body, has arrived. */
 	whole: boolean;
 	text: string;
 	tokens: number;
-	/** Moment of the first token or byte of the body. */
+	/** Time of the first token, or of the first byte of the body. */
 	firstAt?: Milliseconds;
 	lastAt: Milliseconds;
 	request: string;
 	ran: RunState;
-	/** Error kind of the router; `connection` if the connection failed. */
+	/** Error kind sent by the router; `connection` if the connection failed, `cut-short` if the answer ended early. */
 	error?: string;
 	retry?: string;
 	retryAfter?: Milliseconds;
 };
 
-/** Where and how an attempt is sent. */
+/** Destination and transport of an attempt; `timeout` is the idle timeout of the connection. */
 export type Target = {address: Address; key: string; agent: Agent; clock: Clock; timeout: Milliseconds};
 
-type Chunk = {
+type EventData = {
 	choices?: Array<{delta?: {content?: string}}>;
 	error?: {code: string; ran: RunState; retry: string; retry_after?: number};
 };
 
 const millisecondsPerSecond = 1000;
 
-const applyError = (reply: Reply, {error}: Chunk): void => {
+const applyError = (reply: Reply, {error}: EventData): void => {
 	if (error === undefined) {
 		return;
 	}
@@ -50,13 +50,13 @@
 const dataField = 'data: ';
 const terminalEvent = '[DONE]';
 
-const applyData = (reply: Reply, data: string, clock: Clock): void => {
+const applyEvent = (reply: Reply, data: string, clock: Clock): void => {
 	if (data === terminalEvent) {
 		reply.whole = true;
 		return;
 	}
 
-	const chunk = JSON.parse(data) as Chunk;
+	const chunk = JSON.parse(data) as EventData;
 	const content = chunk.choices?.[0]?.delta?.content;
 	applyError(reply, chunk);
 	if (content !== undefined && content !== '') {
@@ -71,15 +71,15 @@
 	const lines = createInterface({input: message});
 	lines.on('line', line => {
 		if (line.startsWith(dataField)) {
-			applyData(reply, line.slice(dataField.length), clock);
+			applyEvent(reply, line.slice(dataField.length), clock);
 		}
 	});
-	// The reader repeats the errors of its input, which are handled below.
+	// The line reader re-emits the errors of its input, which `finished` reports below.
 	lines.on('error', () => undefined);
 	await finished(message);
 };
 
-const readWhole = async (message: IncomingMessage, reply: Reply, clock: Clock): Promise<void> => {
+const readBody = async (message: IncomingMessage, reply: Reply, clock: Clock): Promise<void> => {
 	message.setEncoding('utf8');
 	for await (const part of message) {
 		reply.firstAt ??= clock.monotonic();
@@ -88,7 +88,7 @@
 
 	reply.whole = message.complete;
 	if (reply.status >= 400) {
-		applyError(reply, JSON.parse(reply.text) as Chunk);
+		applyError(reply, JSON.parse(reply.text) as EventData);
 	}
 };
 
@@ -100,7 +100,7 @@
 	reply.ran = (getHeader(message, 'x-ran') || 'unknown') as RunState;
 	await (getHeader(message, 'content-type').startsWith('text/event-stream')
 		? readEvents(message, reply, clock)
-		: readWhole(message, reply, clock));
+		: readBody(message, reply, clock));
 	reply.lastAt = clock.monotonic();
 	if (!reply.whole) {
 		reply.error ??= 'cut-short';
@@ -113,7 +113,7 @@
 	...(arrival.idempotencyKey !== undefined && {'idempotency-key': arrival.idempotencyKey}),
 });
 
-/** Sends one attempt and reads its answer; never throws. */
+/** Sends one attempt and reads its answer; failures are reported in the reply, none is thrown. */
 export const sendRequest = async (arrival: Arrival, target: Target): Promise<Reply> => {
 	const reply: Reply = {
 		status: 0, whole: false, text: '', tokens: 0, lastAt: 0, request: '', ran: 'unknown',
@@ -126,7 +126,7 @@
 			}, resolve);
 			outgoing.on('error', reject);
 			outgoing.on('timeout', () => {
-				outgoing.destroy(new Error('silent'));
+				outgoing.destroy(new Error('no data within the idle timeout'));
 			});
 			outgoing.end(arrival.body);
 		});
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -16,42 +16,44 @@
 import {startRouter, type RunningRouter} from './start-router.js';
 import {startStandins, type Standins} from './start-standins.js';
 
-/** What to start. */
+/** Options of a deployment. */
 export type DeploymentOptions = {
 	deployment: DeploymentName;
+	/** Number of hosts. */
 	hosts?: number;
-	/** Hour of the day in which all customers are, so that a trial is the same at any time. */
+	/** Hour of the day in every customer's time zone, so that a trial doesn't depend on when it is run. */
 	hour?: number;
+	/** Options of all fake engines. */
 	engine?: EngineOptions;
-	/** Settings of each router beside the addresses. */
+	/** Settings of all routers, which override the generated ones. */
 	settings?: Partial<Settings>;
-	/** Changes the example configuration before it is published. */
+	/** Transforms the example configuration before it is published. */
 	change?: (configuration: Configuration) => Configuration;
 };
 
-/** How a router's process ended. */
-export type RouterEnd = {host: string; outcome: number | string; logFile: string};
+/** Exit of a router's process; `outcome` is its exit code or the signal's name. */
+export type RouterExit = {host: string; outcome: number | string; logFile: string};
 
-/** A whole deployment on loopback: stand-ins inside this process, and router processes. */
+/** A complete deployment on loopback: fakes inside this process, and router processes. */
 export type Deployment = Standins & {
 	name: DeploymentName;
 	clock: Clock;
 	configuration: Configuration;
-	/** Keys by customer. */
+	/** API key of each customer. */
 	keys: Map<string, string>;
 	routers: RunningRouter[];
 	/** Starts a host again after it was stopped or killed. */
 	restartRouter: (host: string) => Promise<RunningRouter>;
-	/** Stops the routers, then the stand-ins; gets the routers that didn't end with code 0. */
-	stop: () => Promise<RouterEnd[]>;
+	/** Stops the routers, then the fakes; returns the exits of routers whose code wasn't 0. */
+	stop: () => Promise<RouterExit[]>;
 };
 
-/** Speed of the engines, at which the bursts of a trial are beyond their capacity. */
+/** Step times of the fake engines, in milliseconds; slow enough that a trial's bursts exceed their capacity. */
 const trialEngine: EngineOptions = {stepTime: 32, stepTimePerRunning: 1.2};
-const defaultHosts = 7;
+const defaultHostCount = 7;
 const defaultHour = 9;
-const readyLimit: Milliseconds = 20_000;
-const readyInterval: Milliseconds = 50;
+const readyTimeout: Milliseconds = 20_000;
+const readyCheckInterval: Milliseconds = 50;
 
 const getListedHosts = (settings: SettingsDocument[], configuration: Configuration, addresses: Map<string, Address>): ListedHost[] => {
 	const {engines, services} = configuration.inventory;
@@ -67,30 +69,30 @@
 };
 
 const waitUntilReady = async (router: RunningRouter, clock: Clock): Promise<void> => {
-	const end = clock.monotonic() + readyLimit;
+	const deadline = clock.monotonic() + readyTimeout;
 	let hasEnded = false;
 	void router.ended.then(() => {
 		hasEnded = true;
 	});
-	/* eslint-disable no-await-in-loop -- Each question waits for the answer to the last. */
+	/* eslint-disable no-await-in-loop -- A host is polled again only after its previous answer. */
 	while (!await isReady(router.settings)) {
-		if (hasEnded || clock.monotonic() > end) {
-			throw new Error(`${router.settings.host} did not become ready; its log is ${router.logFile}`);
+		if (hasEnded || clock.monotonic() > deadline) {
+			throw new Error(`${router.settings.host} did not become ready; see its log ${router.logFile}`);
 		}
 
-		await clock.sleep(readyInterval);
+		await clock.sleep(readyCheckInterval);
 	}
 	/* eslint-enable no-await-in-loop */
 };
 
-const getSettings = async (standins: Standins, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
+const createSettings = async (standins: Standins, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
 	const {keyValue, hostList, weightStore} = standins;
 	return getFleetSettings({
 		zones: [...new Set(configuration.inventory.engines.map(({zone}) => zone))],
 		keyValueUrl: keyValue.listener.url,
 		hostListUrl: hostList.listener.url,
 		weightStoreUrl: weightStore.listener.url,
-		ports: await findPorts(countPorts(options.hosts ?? defaultHosts)),
+		ports: await findPorts(countPorts(options.hosts ?? defaultHostCount)),
 	}, options.settings ?? {});
 };
 
@@ -103,30 +105,30 @@
 	const timeZone = getTimeZone(clock.now(), options.hour ?? defaultHour);
 	const configuration = change(getStandinConfiguration(example.configuration, standins.addresses, timeZone));
 	publishConfiguration(standins.keyValue, configuration, clock.now());
-	const settings = await getSettings(standins, configuration, options);
+	const settings = await createSettings(standins, configuration, options);
 	standins.hostList.setHosts(getListedHosts(settings, configuration, standins.addresses));
 	const folder = await mkdtemp(path.join(tmpdir(), 'gentianlift-'));
 	const routers = await Promise.all(settings.map(async document => startRouter(document, folder, clock)));
 
-	const stop = async (): Promise<RouterEnd[]> => {
-		const ends = await Promise.all(routers.map(async (router): Promise<RouterEnd> => {
+	const stop = async (): Promise<RouterExit[]> => {
+		const exits = await Promise.all(routers.map(async (router): Promise<RouterExit> => {
 			const {settings: {host}, logFile} = router;
 			return {host, logFile, outcome: await router.stop()};
 		}));
 		await standins.close();
-		const unclean = ends.filter(({outcome}) => outcome !== 0);
-		if (unclean.length === 0) {
+		const failedExits = exits.filter(({outcome}) => outcome !== 0);
+		if (failedExits.length === 0) {
 			await rm(folder, {recursive: true, force: true});
 		}
 
-		return unclean;
+		return failedExits;
 	};
 
 	const restartRouter = async (host: string): Promise<RunningRouter> => {
 		const index = routers.findIndex(router => router.settings.host === host);
 		const document = settings[index];
 		if (document === undefined) {
-			throw new Error(`there is no host ${host}`);
+			throw new Error(`unknown host ${host}`);
 		}
 
 		const router = await startRouter(document, folder, clock);
--- a/packages/trial/src/commands/start-standins.ts
+++ b/packages/trial/src/commands/start-standins.ts
@@ -6,26 +6,27 @@
 	Address, Engine, Inventory, UpstreamId,
 } from '@gentianlift/types';
 
-/** The systems outside, as stand-ins inside this process. */
+/** Fakes, inside this process, of the systems that the router connects to. */
 export type Standins = {
 	engines: Map<UpstreamId, FakeEngine>;
 	services: Map<UpstreamId, FakeService>;
 	keyValue: FakeKeyValue;
 	hostList: FakeHostList;
 	weightStore: FakeWeightStore;
+	/** Address of each fake upstream. */
 	addresses: Map<UpstreamId, Address>;
 	close: () => Promise<void>;
 };
 
 const startEngine = async (engine: Engine, inventory: Inventory, options: EngineOptions): Promise<[UpstreamId, FakeEngine]> => {
-	const sizes = [...inventory.models, ...inventory.adapters].map(({name, bytes}) => [name, bytes]);
+	const modelSizes = [...inventory.models, ...inventory.adapters].map(({name, bytes}) => [name, bytes]);
 	const fake = await createEngine({
 		models: engine.models,
 		adapters: engine.adapters,
 		role: engine.role,
 		slots: engine.slots,
 		fencing: engine.fencing,
-		bytes: Object.fromEntries(sizes) as Record<string, number>,
+		bytes: Object.fromEntries(modelSizes) as Record<string, number>,
 		...options,
 	});
 	return [engine.id, fake];
@@ -34,7 +35,7 @@
 const getAddresses = (fakes: Map<UpstreamId, FakeEngine | FakeService>): Map<UpstreamId, Address> =>
 	new Map([...fakes].map(([id, {listener}]) => [id, listener.address]));
 
-/** Starts stand-ins for all upstreams of an inventory and for the platform. */
+/** Starts fakes of all upstreams of an inventory and of the platform's services. */
 export const startStandins = async (inventory: Inventory, options: EngineOptions = {}): Promise<Standins> => {
 	const [keyValue, hostList, weightStore] = await Promise.all([createKeyValue(), createHostList(), createWeightStore()]);
 	const engines = new Map(await Promise.all(inventory.engines.map(async (engine, index) =>
@@ -42,7 +43,7 @@
 	const instances = inventory.services.flatMap(service => service.instances);
 	const services = new Map(await Promise.all(instances.map(async ({id, slots}): Promise<[UpstreamId, FakeService]> =>
 		[id, await createService({slots})])));
-	const all = [...engines.values(), ...services.values(), keyValue, hostList, weightStore];
+	const fakes = [...engines.values(), ...services.values(), keyValue, hostList, weightStore];
 	return {
 		engines,
 		services,
@@ -51,7 +52,7 @@
 		weightStore,
 		addresses: new Map([...getAddresses(engines), ...getAddresses(services)]),
 		async close() {
-			await Promise.all(all.map(async fake => fake.close()));
+			await Promise.all(fakes.map(async fake => fake.close()));
 		},
 	};
 };
--- a/packages/trial/src/main.ts
+++ b/packages/trial/src/main.ts
@@ -1,11 +1,12 @@
 import process from 'node:process';
 import {defineCommand, runMain} from 'citty';
 import {
-	deploymentNames, getArrivals, getFlows, getReport, getReportText, runLoad, startDeployment, type Deployment, type LoadProgress,
+	deploymentNames, getArrivals, getFlows, getReport, formatReport, runLoad, startDeployment, type Deployment, type LoadProgress,
 } from './index.js';
 
-const hour = 9;
-const time = `0${hour}:00`;
+/** Hour of the day in every customer's time zone, so that the targets don't depend on when a trial is run. */
+const customerHour = 9;
+const customerTime = `0${customerHour}:00`;
 
 const print = (line: string): void => {
 	process.stdout.write(`${line}\n`);
@@ -37,8 +38,8 @@
 	const records = await runLoad({
 		deployment, arrivals, seed, onProgress: printProgress,
 	});
-	print(`\n${getReportText(getReport({
-		records, configuration: deployment.configuration, standins: deployment, time,
+	print(`\n${formatReport(getReport({
+		records, configuration: deployment.configuration, standins: deployment, time: customerTime,
 	}))}`);
 };
 
@@ -58,22 +59,22 @@
 		hosts: {type: 'string', description: 'Entry hosts', default: '7'},
 	},
 	async run({args}) {
-		// From here on a signal waits until what was started can be stopped.
+		// Handles signals before anything is started, so that a signal during the start doesn't leave processes behind.
 		const signal = waitForSignal();
 		print(`Starting ${args.hosts} hosts of ${args.deployment}`);
 		const deployment = await startDeployment({
-			deployment: args.deployment, hosts: Number(args.hosts), hour, settings: {order: args.order},
+			deployment: args.deployment, hosts: Number(args.hosts), hour: customerHour, settings: {order: args.order},
 		});
 		printAddresses(deployment);
 		const load = {rate: Number(args.rate), seconds: Number(args.seconds), seed: Number(args.seed)};
 		await (args.serve ? signal : Promise.race([signal, runTrial(deployment, load)]));
 		print('Stopping');
-		const unclean = await deployment.stop();
-		for (const {host, outcome, logFile} of unclean) {
+		const failedExits = await deployment.stop();
+		for (const {host, outcome, logFile} of failedExits) {
 			print(`${host} ended with ${outcome}; its log is ${logFile}`);
 		}
 
-		process.exitCode = unclean.length === 0 ? 0 : 1;
+		process.exitCode = failedExits.length === 0 ? 0 : 1;
 	},
 });
 
--- a/packages/trial/src/queries/find-ports.ts
+++ b/packages/trial/src/queries/find-ports.ts
@@ -16,7 +16,7 @@
 	});
 });
 
-/** Finds loopback ports that are free now; all are held until the last is found, so that none comes twice. */
+/** Finds free loopback ports; keeps each of them open until all are found, so that they are distinct. */
 export const findPorts = async (count: number): Promise<number[]> => {
 	const servers = await Promise.all(Array.from({length: count}, listen));
 	const ports = servers.map(server => (server.address() as AddressInfo).port);
--- a/packages/trial/src/queries/get-flows.ts
+++ b/packages/trial/src/queries/get-flows.ts
@@ -1,18 +1,19 @@
 import type {ClassName, CustomerId} from '@gentianlift/types';
 import type {DeploymentName} from '../example.js';
 
-/** What the requests of a flow ask for. */
+/** Content of a flow's requests: chats, with prompt lengths in words and the mean answer length in tokens, or calls of an application service. */
 export type FlowWork
 	= | {kind: 'chat'; model: string; sharedWords: number; ownWords: number; meanTokens: number}
 		| {kind: 'call'; method: 'GET' | 'POST'; path: string};
 
-/** A stream of requests of one class. */
+/** A Poisson stream of requests of one class. */
 export type Flow = {
 	className: ClassName;
+	/** Mean number of requests a second outside bursts. */
 	perSecond: number;
-	/** Factor on the rate inside a burst. */
+	/** Factor on the rate during a burst. */
 	burst: number;
-	/** Customers that send, each as often as it stands here. */
+	/** Customers that send the requests; one that is listed n times is drawn n times as often. */
 	customers: CustomerId[];
 	work: FlowWork;
 };
@@ -21,7 +22,7 @@
 const yard: CustomerId[] = ['kopi-yard', 'kopi-yard', 'faros-steel', 'piraeus-stock'];
 const cooperatives: CustomerId[] = ['tisza-coop', 'tisza-coop', 'koros-coop', 'koros-coop', 'hajdu-coop', 'bekes-coop', 'csongrad-coop', 'szolnok-coop'];
 
-/** Flows of each deployment at rate 1: Kopi's morning quotes, and a spring day of Alföldi. */
+/** Flows of each deployment at rate 1: a morning of quotes at Kopi, and a spring day at Alföldi. */
 const flows: Record<DeploymentName, Flow[]> = {
 	kopi: [
 		{
@@ -76,5 +77,5 @@
 	],
 };
 
-/** Gets the flows of a deployment. */
+/** Returns the flows of a deployment. */
 export const getFlows = (name: DeploymentName): Flow[] => flows[name];
--- a/packages/trial/src/queries/get-settings.ts
+++ b/packages/trial/src/queries/get-settings.ts
@@ -1,17 +1,17 @@
 import type {Address, Settings, Zone} from '@gentianlift/types';
 
-/** Settings of a router as written to its file; the router fills in the rest. */
+/** Contents of a router's settings file; the router uses defaults for settings that are absent. */
 export type SettingsDocument = Partial<Settings> & Pick<Settings,
 	'host' | 'zone' | 'callerAddress' | 'operatorAddress' | 'peerAddress' | 'gossipAddress' | 'peerKeys' | 'seeds' | 'keyValueUrl' | 'hostListUrl' | 'weightStoreUrl'
 >;
 
-/** What the settings of all hosts share. */
-export type Fleet = {
+/** Zones, service URLs and ports from which the settings of all hosts are generated. */
+export type FleetAddresses = {
 	zones: Zone[];
 	keyValueUrl: string;
 	hostListUrl: string;
 	weightStoreUrl: string;
-	/** Four for each host. */
+	/** Free ports, four for each host. */
 	ports: number[];
 };
 
@@ -22,11 +22,11 @@
 const getAddress = (ports: number[], host: number, listener: number): Address =>
 	`127.0.0.1:${ports[(host * portsPerHost) + listener] ?? 0}`;
 
-/** Number of ports that the settings of some hosts take. */
+/** Returns the number of ports needed for a number of hosts. */
 export const countPorts = (hosts: number): number => hosts * portsPerHost;
 
-/** Gets the settings of each host of a fleet. */
-export const getFleetSettings = ({zones, ports, ...urls}: Fleet, extra: Partial<Settings>): SettingsDocument[] => {
+/** Returns the settings of each host of a fleet. */
+export const getFleetSettings = ({zones, ports, ...urls}: FleetAddresses, overrides: Partial<Settings>): SettingsDocument[] => {
 	const hosts = Array.from({length: ports.length / portsPerHost}, (_, index) => ({
 		host: `host-${index + 1}`,
 		zone: zones[index % zones.length] ?? 'zone-a',
@@ -37,6 +37,6 @@
 	}));
 	const seeds = hosts.slice(0, seedCount).map(({host, peerAddress, gossipAddress}) => ({host, peerAddress, gossipAddress}));
 	return hosts.map(host => ({
-		...host, ...urls, peerKeys: [peerKey], seeds, logLevel: 'warn', ...extra,
+		...host, ...urls, peerKeys: [peerKey], seeds, logLevel: 'warn', ...overrides,
 	}));
 };
--- a/packages/trial/src/queries/is-ready.ts
+++ b/packages/trial/src/queries/is-ready.ts
@@ -1,6 +1,6 @@
 import type {Settings} from '@gentianlift/types';
 
-/** Whether a host says that it is ready, at its operators' listener. */
+/** Returns whether the readiness endpoint of a host's operator listener answers with success. */
 export const isReady = async ({operatorAddress}: Pick<Settings, 'operatorAddress'>): Promise<boolean> => {
 	try {
 		const answer = await fetch(`http://${operatorAddress}/ready`);
--- a/packages/trial/src/queries/queries.test.ts
+++ b/packages/trial/src/queries/queries.test.ts
@@ -3,20 +3,20 @@
 	getArrivals, getFlows, getReport, getTable, getTimeZone, readExample, type CallRecord,
 } from '../index.js';
 
-const shape = {
+const loadShape = {
 	flows: getFlows('kopi'), rate: 1, seconds: 20, seed: 1,
 };
 
-test('arrivals repeat with the seed and come in order', () => {
-	const arrivals = getArrivals(shape);
-	expect(getArrivals(shape)).toEqual(arrivals);
+test('arrivals are in order of time and the same for the same seed', () => {
+	const arrivals = getArrivals(loadShape);
+	expect(getArrivals(loadShape)).toEqual(arrivals);
 	expect(arrivals.map(({at}) => at)).toEqual(arrivals.map(({at}) => at).toSorted((left, right) => left - right));
-	expect(getArrivals({...shape, seed: 2})).not.toEqual(arrivals);
+	expect(getArrivals({...loadShape, seed: 2})).not.toEqual(arrivals);
 });
 
-test('flows name customers and classes of the examples', async () => {
+test('flows use customers, classes and keys of the example configurations', async () => {
 	for (const name of ['kopi', 'alfoldi'] as const) {
-		// eslint-disable-next-line no-await-in-loop -- Two small files.
+		// eslint-disable-next-line no-await-in-loop -- Only two small files are read.
 		const {configuration, keys} = await readExample(name);
 		const {customers} = configuration.inventory;
 		const allowed = getFlows(name).flatMap(flow => flow.customers.map(id =>
@@ -25,14 +25,14 @@
 	}
 });
 
-test('finds a time zone for an hour', () => {
+test('finds a time zone for each hour of the day', () => {
 	const noon = 12 * 3_600_000;
 	const getHour = (timeZone: string) => new Intl.DateTimeFormat('en', {hour: 'numeric', hourCycle: 'h23', timeZone}).format(noon);
 	expect(Array.from({length: 24}, (_, hour) => Number(getHour(getTimeZone(noon, hour)))))
 		.toEqual(Array.from({length: 24}, (_, hour) => hour));
 });
 
-test('judges answers by all targets and counts waste', async () => {
+test('counts only answers that meet all targets as attained, and counts wasted tokens', async () => {
 	const {configuration} = await readExample('kopi');
 	const record: CallRecord = {
 		className: 'quote', customer: 'a', at: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r', firstAfter: 700, wholeAfter: 5000, betweenTokens: 50, tokens: 80,
