--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -23,7 +23,7 @@
 	ran: RunState;
 	request: RequestId;
 	/** Time to the first token, or to the first byte of the body. */
-	firstAfter?: Milliseconds;
+	timeToFirstToken?: Milliseconds;
 	/** Time to the end of the answer, or to the last attempt's failure. */
 	wholeAfter: Milliseconds;
 	/** Mean inter-token latency. */
@@ -118,7 +118,7 @@
 		status: reply.status,
 		ran: reply.ran,
 		request: reply.request,
-		...(firstAt !== undefined && {firstAfter: firstAt - dueAt}),
+		...(firstAt !== undefined && {timeToFirstToken: firstAt - dueAt}),
 		wholeAfter: lastAt - dueAt,
 		...(firstAt !== undefined && tokens > 1 && {betweenTokens: (lastAt - firstAt) / (tokens - 1)}),
 		tokens,
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -85,8 +85,8 @@
 	/* eslint-enable no-await-in-loop */
 };
 
-const createSettings = async (standins: Standins, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
-	const {keyValue, hostList, weightStore} = standins;
+const createSettings = async (fakes: Standins, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
+	const {keyValue, hostList, weightStore} = fakes;
 	return getFleetSettings({
 		zones: [...new Set(configuration.inventory.engines.map(({zone}) => zone))],
 		keyValueUrl: keyValue.listener.url,
@@ -101,12 +101,12 @@
 	const clock = createSystemClock();
 	const example = await readExample(options.deployment);
 	const change = options.change ?? (configuration => configuration);
-	const standins = await startStandins(example.configuration.inventory, {...trialEngine, ...options.engine});
+	const fakes = await startStandins(example.configuration.inventory, {...trialEngine, ...options.engine});
 	const timeZone = getTimeZone(clock.now(), options.hour ?? defaultHour);
-	const configuration = change(getStandinConfiguration(example.configuration, standins.addresses, timeZone));
-	publishConfiguration(standins.keyValue, configuration, clock.now());
-	const settings = await createSettings(standins, configuration, options);
-	standins.hostList.setHosts(getListedHosts(settings, configuration, standins.addresses));
+	const configuration = change(getStandinConfiguration(example.configuration, fakes.addresses, timeZone));
+	publishConfiguration(fakes.keyValue, configuration, clock.now());
+	const settings = await createSettings(fakes, configuration, options);
+	fakes.hostList.setHosts(getListedHosts(settings, configuration, fakes.addresses));
 	const folder = await mkdtemp(path.join(tmpdir(), 'gentianlift-'));
 	const routers = await Promise.all(settings.map(async document => startRouter(document, folder, clock)));
 
@@ -115,7 +115,7 @@
 			const {settings: {host}, logFile} = router;
 			return {host, logFile, outcome: await router.stop()};
 		}));
-		await standins.close();
+		await fakes.close();
 		const failedExits = exits.filter(({outcome}) => outcome !== 0);
 		if (failedExits.length === 0) {
 			await rm(folder, {recursive: true, force: true});
@@ -145,6 +145,6 @@
 	}
 
 	return {
-		...standins, name: options.deployment, clock, configuration, keys: example.keys, routers, restartRouter, stop,
+		...fakes, name: options.deployment, clock, configuration, keys: example.keys, routers, restartRouter, stop,
 	};
 };
--- a/packages/trial/src/queries/queries.test.ts
+++ b/packages/trial/src/queries/queries.test.ts
@@ -35,11 +35,12 @@
 test('counts only answers that meet all targets as attained, and counts wasted tokens', async () => {
 	const {configuration} = await readExample('kopi');
 	const record: CallRecord = {
-		className: 'quote', customer: 'a', at: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r', firstAfter: 700, wholeAfter: 5000, betweenTokens: 50, tokens: 80,
+		className: 'quote', customer: 'a', at: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r',
+		timeToFirstToken: 700, wholeAfter: 5000, betweenTokens: 50, tokens: 80,
 	};
 	const engines = new Map([['e', {getState: () => ({tokensByTag: {quote: 200}})}]]) as never;
 	const report = getReport({
-		records: [record, {...record, firstAfter: 900}, {...record, betweenTokens: 80}, {...record, outcome: 'failed', errors: ['queue-full']}],
+		records: [record, {...record, timeToFirstToken: 900}, {...record, betweenTokens: 80}, {...record, outcome: 'failed', errors: ['queue-full']}],
 		configuration, standins: {engines, services: new Map()}, time: '09:00',
 	});
 	expect(report.classes[0]).toMatchObject({
