--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -5,7 +5,7 @@
 	Address, ClassName, CustomerId, Milliseconds, RequestId, RunState,
 } from '@gentianlift/types';
 import type {Arrival} from '../queries/get-arrivals.js';
-import {createHostPicker, type HostPicker} from './create-address-book.js';
+import {createHostPicker, type HostPicker} from './create-host-picker.js';
 import type {Deployment} from './start-deployment.js';
 import {sendRequest, type Reply} from './send-request.js';
 
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -9,12 +9,12 @@
 import {readExample, type DeploymentName} from '../example.js';
 import {findPorts} from '../queries/find-ports.js';
 import {countPorts, getFleetSettings, type SettingsDocument} from '../queries/get-settings.js';
-import {getStandinConfiguration} from '../queries/get-standin-configuration.js';
+import {getStandinConfiguration} from '../queries/get-trial-configuration.js';
 import {getTimeZone} from '../queries/get-time-zone.js';
 import {isReady} from '../queries/is-ready.js';
 import {publishConfiguration} from './publish-configuration.js';
 import {startRouter, type RunningRouter} from './start-router.js';
-import {startStandins, type Standins} from './start-standins.js';
+import {startStandins, type Standins} from './start-fakes.js';
 
 /** Options of a deployment. */
 export type DeploymentOptions = {
--- a/packages/trial/src/queries/get-report.ts
+++ b/packages/trial/src/queries/get-report.ts
@@ -2,7 +2,7 @@
 	Milliseconds, ClassName, Configuration, Targets,
 } from '@gentianlift/types';
 import type {CallRecord} from '../commands/run-load.js';
-import type {Standins} from '../commands/start-standins.js';
+import type {Standins} from '../commands/start-fakes.js';
 
 /** Metrics of one request class. */
 export type ClassReport = {
