--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -27,7 +27,7 @@
 	/** Time to the end of the answer, or to the last attempt's failure. */
 	wholeAfter: Milliseconds;
 	/** Mean inter-token latency. */
-	betweenTokens?: Milliseconds;
+	meanInterTokenLatency?: Milliseconds;
 	tokens: number;
 	idempotencyKey?: string;
 };
@@ -120,7 +120,7 @@
 		request: reply.request,
 		...(firstAt !== undefined && {timeToFirstToken: firstAt - dueAt}),
 		wholeAfter: lastAt - dueAt,
-		...(firstAt !== undefined && tokens > 1 && {betweenTokens: (lastAt - firstAt) / (tokens - 1)}),
+		...(firstAt !== undefined && tokens > 1 && {meanInterTokenLatency: (lastAt - firstAt) / (tokens - 1)}),
 		tokens,
 		...(arrival.idempotencyKey !== undefined && {idempotencyKey: arrival.idempotencyKey}),
 	};
--- a/packages/trial/src/queries/format-report.ts
+++ b/packages/trial/src/queries/format-report.ts
@@ -27,7 +27,7 @@
 		entry.firstP50.toFixed(0),
 		entry.firstP99.toFixed(0),
 		formatPercent(entry.wastedShare),
-		String(entry.refused),
+		String(entry.failed),
 		String(entry.retries),
 		String(entry.wrong),
 	]);
--- a/packages/trial/src/queries/get-report.ts
+++ b/packages/trial/src/queries/get-report.ts
@@ -26,7 +26,7 @@
 	/** `wasted` as a fraction of all work done. */
 	wastedShare: number;
 	/** Number of requests that failed. */
-	refused: number;
+	failed: number;
 	/** Number of retries. */
 	retries: number;
 };
@@ -56,7 +56,7 @@
 /** Returns whether a request was completed within all targets of its class. */
 export const isAttained = (record: CallRecord, targets: Targets): boolean => record.outcome === 'complete'
 	&& isWithin(record.timeToFirstToken, targets.firstToken)
-	&& (record.tokens < 2 || isWithin(record.betweenTokens, targets.betweenTokens))
+	&& (record.tokens < 2 || isWithin(record.meanInterTokenLatency, targets.betweenTokens))
 	&& isWithin(record.wholeAfter, targets.whole);
 
 /** Returns a percentile of some values, given as a fraction from 0 to 1; 0 if there are no values. */
@@ -114,7 +114,7 @@
 		firstP99: getPercentile(firstLatencies, 0.99),
 		wasted,
 		wastedShare: work === 0 ? 0 : wasted / work,
-		refused: ownRecords.filter(({outcome}) => outcome === 'failed').length,
+		failed: ownRecords.filter(({outcome}) => outcome === 'failed').length,
 		retries: ownRecords.reduce((sum, {retries}) => sum + retries, 0),
 	};
 };
--- a/packages/trial/src/queries/queries.test.ts
+++ b/packages/trial/src/queries/queries.test.ts
@@ -36,15 +36,15 @@
 	const {configuration} = await readExample('kopi');
 	const record: CallRecord = {
 		className: 'quote', customer: 'a', at: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r',
-		timeToFirstToken: 700, wholeAfter: 5000, betweenTokens: 50, tokens: 80,
+		timeToFirstToken: 700, wholeAfter: 5000, meanInterTokenLatency: 50, tokens: 80,
 	};
 	const engines = new Map([['e', {getState: () => ({tokensByTag: {quote: 200}})}]]) as never;
 	const report = getReport({
-		records: [record, {...record, timeToFirstToken: 900}, {...record, betweenTokens: 80}, {...record, outcome: 'failed', errors: ['queue-full']}],
+		records: [record, {...record, timeToFirstToken: 900}, {...record, meanInterTokenLatency: 80}, {...record, outcome: 'failed', errors: ['queue-full']}],
 		configuration, standins: {engines, services: new Map()}, time: '09:00',
 	});
 	expect(report.classes[0]).toMatchObject({
-		className: 'quote', sent: 4, complete: 3, attainment: 0.25, goodput: 0.2, wasted: 0, refused: 1,
+		className: 'quote', sent: 4, complete: 3, attainment: 0.25, goodput: 0.2, wasted: 0, failed: 1,
 	});
 	expect(report.errors).toEqual({'queue-full': 1});
 });
