--- a/packages/soak/src/command.ts
+++ b/packages/soak/src/command.ts
@@ -9,7 +9,7 @@
 import {runSeed, type SeedRunOptions, type SeedRunReport} from './run-seed.js';
 
 /** A run of the soak that is still to be started. */
-type SeedRun = Pick<SeedRunOptions, 'seed' | 'steps'>;
+type SeedRun = Pick<SeedRunOptions, 'seed' | 'schedule'>;
 
 /** Number of processes with consecutive ids that differ in the third octet. */
 const thirdOctetCount = 200;
--- a/packages/soak/src/deployment.ts
+++ b/packages/soak/src/deployment.ts
@@ -8,18 +8,21 @@
 	address: Address;
 	put: (key: string, value: string) => void;
 	remove: (key: string) => void;
+	/** Starts a failure mode in place of the current one; undefined ends it. */
 	setTrouble: (mode: StoreTrouble | undefined) => void;
 	close: () => void;
 };
 
 /** A fake of an upstream, which maintains its own entry in the key-value service. */
 export type FakeUpstream = {
+	/** Starts a failure mode in place of the current one; undefined ends it. */
 	setFailureMode: (mode: UpstreamFailureMode | undefined) => void;
 	close: () => void;
 };
 
 /** Options of a fake upstream. */
 export type FakeUpstreamOptions = {
+	/** Service that the upstream belongs to. */
 	service: string;
 	name: string;
 	ip: string;
@@ -37,6 +40,7 @@
 	zone: string;
 	/** Address of the link through which this host reaches the key-value service. */
 	store: Address;
+	/** IP addresses of the hosts through which this host joins the fleet. */
 	knownPeers: string[];
 	/** Time that the host has for a graceful shutdown. */
 	grace: Milliseconds;
@@ -74,9 +78,10 @@
 	configure: (store: StoreStandIn, version: number) => void;
 	startUpstream: (options: FakeUpstreamOptions) => Promise<FakeUpstream>;
 	/** Writes the host's settings file, also again while the host runs. */
-	writeSettings: (plan: HostPlan) => void;
-	getCommand: (plan: HostPlan) => Command;
+	writeSettings: (options: HostPlan) => void;
+	getCommand: (options: HostPlan) => Command;
 	/** Returns the address on which the host with this IP address listens for callers. */
 	getCallersAddress: (hostIp: string) => Address;
+	/** Creates the client that all callers of a run share. */
 	createCallers: () => Callers;
 };
--- a/packages/soak/src/exchange.ts
+++ b/packages/soak/src/exchange.ts
@@ -19,14 +19,14 @@
 /** A complete answer. */
 export type CompleteResponse = {status: number; text: string};
 
-/** Sends a request and reads its answer; resolves with an outcome instead if no complete answer arrives within the time limit. */
-export const exchange = async (options: RequestOptions, body: string, limit: Milliseconds): Promise<CompleteResponse | Outcome> => new Promise(resolve => {
+/** Sends a request and reads its answer; resolves with an outcome instead if no complete answer arrives within the timeout. */
+export const exchange = async (options: RequestOptions, body: string, timeout: Milliseconds): Promise<CompleteResponse | Outcome> => new Promise(resolve => {
 	let isConnected = false;
 	const outgoing: ClientRequest = request(options);
 	const timer = setTimeout(() => {
 		resolve({kind: 'given-up'});
 		outgoing.destroy();
-	}, limit);
+	}, timeout);
 	const finish = (result: CompleteResponse | Outcome): void => {
 		clearTimeout(timer);
 		resolve(result);
--- a/packages/soak/src/fake-upstream.ts
+++ b/packages/soak/src/fake-upstream.ts
@@ -18,6 +18,7 @@
 	writeEntry: (entry: UpstreamEntry) => string;
 	/** Returns the id of the upstream that the request is intended for. */
 	getExpectedId: (request: IncomingMessage) => string | undefined;
+	/** Returns the unique id of the request, which its headers carry. */
 	getAttempt: (request: IncomingMessage) => string;
 	isStream: (request: IncomingMessage) => boolean;
 	/** Headers of an answer that states that the request was not executed. */
@@ -29,7 +30,9 @@
 
 /** Maximum number of requests executed at a time. */
 const slots = 32;
+/** Time from the start of a request's execution to its answer. */
 const serviceTime: Milliseconds = 15;
+/** Factor on the service time in failure mode `slow`. */
 const slowFactor = 20;
 const eventInterval: Milliseconds = 15;
 /** Idle time after which a connection is reset at its next request in failure mode `idle-resets`. */
@@ -51,7 +54,7 @@
 /** Starts a fake upstream and writes its entry into the key-value service. */
 export const startUpstream = async ({
 	service, name, ip, store, onExecute, openLink,
-}: FakeUpstreamOptions, wire: UpstreamWire): Promise<FakeUpstream> => {
+}: FakeUpstreamOptions, protocol: UpstreamWire): Promise<FakeUpstream> => {
 	const idleSince = new WeakMap<Socket, Milliseconds>();
 	let failureMode: UpstreamFailureMode | undefined;
 	let incarnation = 0;
@@ -68,7 +71,7 @@
 	};
 
 	const reject = (response: ServerResponse, status: number): void => {
-		response.writeHead(status, {...wire.notRunHeaders, 'content-length': 0});
+		response.writeHead(status, {...protocol.notRunHeaders, 'content-length': 0});
 		response.end();
 	};
 
@@ -101,7 +104,7 @@
 
 		response.end(body);
 		if (failureMode === 'extra-bytes') {
-			response.socket?.write(wire.extraAnswer);
+			response.socket?.write(protocol.extraAnswer);
 		}
 	};
 
@@ -115,8 +118,8 @@
 		}
 
 		response.statusCode = failureMode === 'failing' ? 500 : 200;
-		response.setHeaders(new Map(Object.entries(wire.getAnswerHeaders(id, attempt))));
-		if (wire.isStream(request) && response.statusCode === 200) {
+		response.setHeaders(new Map(Object.entries(protocol.getAnswerHeaders(id, attempt))));
+		if (protocol.isStream(request) && response.statusCode === 200) {
 			await writeStream(attempt, response);
 		} else {
 			writeBody(attempt, response);
@@ -124,14 +127,14 @@
 	};
 
 	const handleRequest = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-		const idleFor = performance.now() - (idleSince.get(request.socket) ?? performance.now());
-		if (failureMode === 'idle-resets' && idleFor > idleTimeout) {
+		const idleTime = performance.now() - (idleSince.get(request.socket) ?? performance.now());
+		if (failureMode === 'idle-resets' && idleTime > idleTimeout) {
 			request.socket.resetAndDestroy();
 			return;
 		}
 
 		request.resume();
-		if (wire.getExpectedId(request) !== id) {
+		if (protocol.getExpectedId(request) !== id) {
 			reject(response, 421);
 			return;
 		}
@@ -142,7 +145,7 @@
 		}
 
 		inFlight += 1;
-		await execute(request, response, wire.getAttempt(request));
+		await execute(request, response, protocol.getAttempt(request));
 		inFlight -= 1;
 		idleSince.set(request.socket, performance.now());
 	};
@@ -152,13 +155,14 @@
 	});
 	const port = await listen(server, ip, 0);
 	const address = await openLink(`${ip}:${port}`);
-	const getKey = (): string => wire.getKey(id);
+	const getKey = (): string => protocol.getKey(id);
 	const publishEntry = (isLeaving: boolean): void => {
-		store.put(getKey(), wire.writeEntry({
+		store.put(getKey(), protocol.writeEntry({
 			service, address, id, slots, isLeaving, startedAt: firstStartTime + incarnation,
 		}));
 	};
 
+	/** Stops listening and closes all connections, as the exit of an upstream's process would. */
 	const closeServer = (): void => {
 		isDown = true;
 		server.close();
--- a/packages/soak/src/guarantees.test.ts
+++ b/packages/soak/src/guarantees.test.ts
@@ -69,8 +69,8 @@
 });
 
 test('draws faults of all kinds, for existing hosts and within the fault period', () => {
-	const steps = Array.from({length: 40}, (_, seed) => drawSchedule(seed, {hosts: 5, upstreams: 6}, 12_000)).flat();
-	expect(new Set(steps.map(({fault}) => fault.kind)).size).toBe(10);
-	expect(steps.every(({at}) => at < 12_000)).toBe(true);
-	expect(steps.every(({fault}) => !('host' in fault) || (fault.host >= 0 && fault.host < 5))).toBe(true);
+	const faults = Array.from({length: 40}, (_, seed) => drawSchedule(seed, {hosts: 5, upstreams: 6}, 12_000)).flat();
+	expect(new Set(faults.map(({fault}) => fault.kind)).size).toBe(10);
+	expect(faults.every(({at}) => at < 12_000)).toBe(true);
+	expect(faults.every(({fault}) => !('host' in fault) || (fault.host >= 0 && fault.host < 5))).toBe(true);
 });
--- a/packages/soak/src/injector.ts
+++ b/packages/soak/src/injector.ts
@@ -57,6 +57,7 @@
 		outage.to = clock.monotonic() + startupTime;
 	};
 
+	/** Stops a host gracefully, records the shutdown and starts the host again. */
 	const restartHostGracefully = async (index: number, {options, hostProcess}: SoakHost): Promise<void> => {
 		const shutdown = {host: index, from: clock.monotonic(), to: Number.POSITIVE_INFINITY};
 		observations.shutdowns.push(shutdown);
@@ -92,6 +93,7 @@
 		() => link?.setState({kind: 'open'}),
 	);
 
+	/** Kills a host and starts it again after the time `down`. */
 	const restartKilledHost = async ({hostProcess}: SoakHost, down: Milliseconds): Promise<void> => {
 		recordDisturbance(down + startupTime);
 		await hostProcess.kill();
--- a/packages/soak/src/kept-cases.ts
+++ b/packages/soak/src/kept-cases.ts
@@ -1,14 +1,14 @@
-import type {Step} from './schedule.js';
+import type {ScheduledFault} from './schedule.js';
 
 /** A fault schedule that once caused a violation or failure, with the seed that first produced it. */
-export type RegressionCase = {seed: number; cause: string; steps: Step[]};
+export type RegressionCase = {seed: number; cause: string; schedule: ScheduledFault[]};
 
 /** Regression cases that the `kept` option runs before the seeds. */
 export const regressionCases: readonly RegressionCase[] = [
 	{
 		seed: 3,
 		cause: 'SIGHUP terminated a host that was still starting: its signal handler was installed only after the settings were read',
-		steps: [
+		schedule: [
 			{at: 100, fault: {kind: 'host-kill', host: 2, down: 300}},
 			{at: 450, fault: {kind: 'host-reload', host: 2, isSignalled: true}},
 			{at: 650, fault: {kind: 'host-reload', host: 2, isSignalled: true}},
--- a/packages/soak/src/run-seed.ts
+++ b/packages/soak/src/run-seed.ts
@@ -6,7 +6,7 @@
 import {startFleet, type Fleet, type SoakHost} from './fleet.js';
 import {createInjector, type Injector} from './injector.js';
 import {findViolations, type Violation, type Observations} from './guarantees.js';
-import {drawSchedule, type Step} from './schedule.js';
+import {drawSchedule, type ScheduledFault} from './schedule.js';
 import {startTraffic} from './traffic.js';
 
 /** Options of one run of the soak. */
@@ -25,7 +25,7 @@
 	/** Time from the start of the traffic within which faults begin. */
 	faultPeriod: Milliseconds;
 	/** Faults to inject instead of those drawn from the seed. */
-	steps?: Step[];
+	schedule?: ScheduledFault[];
 };
 
 /** Result of one run of the soak. */
@@ -89,9 +89,9 @@
 	return failures.flat();
 };
 
-const injectFaults = async (steps: readonly Step[], injector: Injector, clock: Clock): Promise<void> => {
+const injectFaults = async (schedule: readonly ScheduledFault[], injector: Injector, clock: Clock): Promise<void> => {
 	const from = clock.monotonic();
-	for (const {at, fault} of steps) {
+	for (const {at, fault} of schedule) {
 		// eslint-disable-next-line no-await-in-loop -- Faults begin at their scheduled times.
 		await clock.sleep(Math.max(0, at - (clock.monotonic() - from)));
 		injector.inject(fault);
@@ -114,7 +114,7 @@
 		},
 	});
 	const callers = deployment.createCallers();
-	const steps = options.steps ?? drawSchedule(seed, {hosts, upstreams: fleet.upstreams.length}, faultPeriod);
+	const schedule = options.schedule ?? drawSchedule(seed, {hosts, upstreams: fleet.upstreams.length}, faultPeriod);
 	try {
 		deployment.configure(fleet.store, 1);
 		const startFailures = await waitForFleet(fleet, callers, options, () => 1);
@@ -127,12 +127,12 @@
 				observations.calls.push(call);
 			},
 		});
-		await injectFaults(steps, injector, clock);
+		await injectFaults(schedule, injector, clock);
 		const recoveryFailures = await waitForFleet(fleet, callers, options, injector.getVersion);
 		await traffic.stop();
 		return {
 			seed,
-			faults: steps.length,
+			faults: schedule.length,
 			calls: observations.calls.length,
 			served: observations.calls.filter(({outcome}) => outcome.kind === 'answered' && outcome.status === 200 && outcome.isOwn).length,
 			violations: findViolations(observations),
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -33,8 +33,8 @@
 		/** A request rate that is raised by a factor. */
 		| {kind: 'burst'; factor: number; duration: Milliseconds};
 
-/** A fault and the time, from the start of the run's faults, at which it begins. */
-export type Step = {at: Milliseconds; fault: Fault};
+/** A fault and the time at which it begins, from the start of the schedule. */
+export type ScheduledFault = {at: Milliseconds; fault: Fault};
 
 /** Numbers of hosts and upstreams that faults are drawn for. */
 export type FleetSize = {hosts: number; upstreams: number};
@@ -88,15 +88,15 @@
 };
 
 /** Draws the faults of a seed within the fault period; the same seed gives the same faults. */
-export const drawSchedule = (seed: number, size: FleetSize, faultPeriod: Milliseconds): Step[] => {
+export const drawSchedule = (seed: number, size: FleetSize, faultPeriod: Milliseconds): ScheduledFault[] => {
 	const random = createRandom(seed);
-	const steps: Step[] = [];
+	const schedule: ScheduledFault[] = [];
 	for (let at = 0; ;) {
 		at += Math.round(-Math.log(1 - random.next()) * meanFaultInterval);
 		if (at >= faultPeriod) {
-			return steps;
+			return schedule;
 		}
 
-		steps.push({at, fault: drawFault(random, size)});
+		schedule.push({at, fault: drawFault(random, size)});
 	}
 };
--- a/packages/soak/src/store-contents.ts
+++ b/packages/soak/src/store-contents.ts
@@ -20,8 +20,8 @@
 	getRevision: () => number;
 	put: (key: string, value: string, lease?: number) => void;
 	remove: (key: string) => void;
-	/** Resolves with the changes after the revision, once there are any or the time limit has passed; undefined if some were compacted. */
-	watch: (after: number, limit: Milliseconds) => Promise<StoredEvent[] | undefined>;
+	/** Resolves with the changes after the revision, once there are any or the timeout has passed; undefined if some were compacted. */
+	watch: (after: number, timeout: Milliseconds) => Promise<StoredEvent[] | undefined>;
 	/** Applies the transaction; otherwise returns the current items of the keys whose revision isn't the expected one. */
 	commit: (transaction: Transaction) => StoredItem[] | undefined;
 	/** Returns the id of a new lease. */
@@ -100,10 +100,10 @@
 		put,
 		remove,
 		endLease,
-		async watch(after, limit) {
+		async watch(after, timeout) {
 			const getEvents = (): StoredEvent[] => events.filter(event => getEventRevision(event) > after);
 			if (after >= compactedRevision && getEvents().length === 0) {
-				await Promise.race([sleep(limit), new Promise<void>(resolve => {
+				await Promise.race([sleep(timeout), new Promise<void>(resolve => {
 					watchers.add(resolve);
 				})]);
 			}
--- a/packages/soak/src/traffic.ts
+++ b/packages/soak/src/traffic.ts
@@ -21,6 +21,7 @@
 	attemptPrefix: string;
 	/** Returns the current factor on the rate of requests. */
 	getRateFactor: () => number;
+	/** Called with each request once it has ended. */
 	onCall: (call: Call) => void;
 };
 
@@ -35,20 +36,20 @@
 
 /** Picks a random address among those that a host last returned to callers, or any host's while none has answered. */
 const createAddressPicker = ({fleet, callers, clock, random}: TrafficOptions) => {
-	const known: {addresses: Address[]; at: Milliseconds} = {addresses: [], at: Number.NEGATIVE_INFINITY};
+	const directory: {addresses: Address[]; at: Milliseconds} = {addresses: [], at: Number.NEGATIVE_INFINITY};
 	const refresh = async (): Promise<void> => {
-		known.at = clock.monotonic();
+		directory.at = clock.monotonic();
 		const host = random.pick(fleet.hosts);
 		const addresses = host === undefined ? [] : await callers.resolve(host.options.ip);
-		known.addresses = addresses.length > 0 ? addresses : known.addresses;
+		directory.addresses = addresses.length > 0 ? addresses : directory.addresses;
 	};
 
 	return (): Address | undefined => {
-		if (clock.monotonic() - known.at > resolveInterval) {
+		if (clock.monotonic() - directory.at > resolveInterval) {
 			void refresh();
 		}
 
-		return random.pick(known.addresses) ?? random.pick(fleet.hosts)?.callerAddress;
+		return random.pick(directory.addresses) ?? random.pick(fleet.hosts)?.callerAddress;
 	};
 };
 
@@ -65,7 +66,7 @@
 	const sendOne = async (): Promise<void> => {
 		const address = pickAddress();
 		const kind = random.pick(requestKinds);
-		const host = fleet.hosts.findIndex(item => item.callerAddress === address);
+		const host = fleet.hosts.findIndex(candidate => candidate.callerAddress === address);
 		if (address === undefined || kind === undefined || host === -1) {
 			return;
 		}
@@ -81,7 +82,7 @@
 		});
 	};
 
-	const run = async (): Promise<void> => {
+	const sendUntilStopped = async (): Promise<void> => {
 		while (!state.isStopped) {
 			if (openRequests.size < maxOpenRequests) {
 				const call = sendOne();
@@ -96,11 +97,11 @@
 		}
 	};
 
-	const finished = run();
+	const sending = sendUntilStopped();
 	return {
 		async stop() {
 			state.isStopped = true;
-			await finished;
+			await sending;
 			await Promise.all(openRequests);
 		},
 	};
--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -51,6 +51,7 @@
 
 const defaultRetries = 2;
 const defaultTimeout: Milliseconds = 60_000;
+/** Delay before a retry if the answer names none; each delay gets a jitter of up to 50% in either direction. */
 const defaultRetryDelay: Milliseconds = 500;
 const progressInterval: Milliseconds = 5000;
 const millisecondsPerSecond = 1000;
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -42,7 +42,7 @@
 	/** API key of each customer. */
 	keys: Map<string, string>;
 	routers: RunningRouter[];
-	/** Starts a host again after it was stopped or killed. */
+	/** Restarts a host that was stopped or killed and waits until it is ready. */
 	restartRouter: (host: string) => Promise<RunningRouter>;
 	/** Stops the routers, then the fakes; returns the exits of routers whose code wasn't 0. */
 	stop: () => Promise<RouterExit[]>;
--- a/packages/trial/src/queries/get-settings.ts
+++ b/packages/trial/src/queries/get-settings.ts
@@ -16,6 +16,7 @@
 };
 
 const portsPerHost = 4;
+/** Number of hosts that all hosts use as seeds to join the fleet. */
 const seedCount = 3;
 const peerKey = 'trial-key-between-hosts';
 
