--- a/packages/trial/src/commands/send-request.ts
+++ b/packages/trial/src/commands/send-request.ts
@@ -11,22 +11,30 @@
 	status: number;
 	/** Whether the terminal event, or the complete body, has arrived. */
 	whole: boolean;
+	/** Text of the answer's tokens, or the body. */
 	text: string;
+	/** Number of streamed tokens. */
 	tokens: number;
 	/** Time of the first token, or of the first byte of the body. */
 	firstAt?: Milliseconds;
+	/** Time of the end of the answer, or of the connection's failure. */
 	lastAt: Milliseconds;
+	/** Request id that the router returned; empty without an answer. */
 	request: string;
+	/** Whether the request was executed, as the router states it. */
 	ran: RunState;
 	/** Error kind sent by the router; `connection` if the connection failed, `cut-short` if the answer ended early. */
 	error?: string;
+	/** The router's advice whether to retry. */
 	retry?: string;
+	/** Delay before a retry that the router asks for. */
 	retryAfter?: Milliseconds;
 };
 
 /** Destination and transport of an attempt; `timeout` is the idle timeout of the connection. */
 export type Target = {address: Address; key: string; agent: Agent; clock: Clock; timeout: Milliseconds};
 
+/** Data of a stream's event, or an error body. */
 type EventData = {
 	choices?: Array<{delta?: {content?: string}}>;
 	error?: {code: string; ran: RunState; retry: string; retry_after?: number};
--- a/packages/trial/src/queries/get-arrivals.ts
+++ b/packages/trial/src/queries/get-arrivals.ts
@@ -30,6 +30,7 @@
 const millisecondsPerSecond = 1000;
 /** Bursts start at this fraction of each period and last until its end. */
 const burstStartFraction = 0.6;
+/** Time from the start of one burst to the start of the next. */
 const burstPeriod: Milliseconds = 10_000;
 /** Standard deviation of the logarithm of answer lengths, which are log-normal. */
 const lengthSigma = 0.6;
@@ -39,13 +40,15 @@
 
 const isBurst = (at: Milliseconds): boolean => at % burstPeriod >= burstStartFraction * burstPeriod;
 
-const drawGap = (random: Random, perSecond: number): Milliseconds =>
+/** Draws the time to the next arrival of a Poisson process. */
+const drawInterval = (random: Random, perSecond: number): Milliseconds =>
 	-Math.log(1 - random.next()) / perSecond * millisecondsPerSecond;
 
 /** Draws from the standard normal distribution by the Box-Muller transform. */
 const drawNormal = (random: Random): number =>
 	Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
 
+/** Draws the length of an answer, in tokens, from a log-normal distribution whose mean, before truncation, is the given one. */
 const drawLength = (random: Random, mean: number): number =>
 	Math.max(1, Math.round(mean * Math.min(maxLengthRatio, Math.exp((lengthSigma * drawNormal(random)) - ((lengthSigma ** 2) / 2)))));
 
@@ -82,7 +85,7 @@
 	const arrivals: Arrival[] = [];
 	const end = shape.seconds * millisecondsPerSecond;
 	const getRate = (at: Milliseconds): number => flow.perSecond * shape.rate * (isBurst(at) ? flow.burst : 1);
-	for (let at = drawGap(random, getRate(0)); at < end; at += drawGap(random, getRate(at))) {
+	for (let at = drawInterval(random, getRate(0)); at < end; at += drawInterval(random, getRate(at))) {
 		const customer = random.pick(flow.customers) ?? '';
 		const key = `${flow.className}-${shape.seed}-${arrivals.length}`;
 		const request = flow.work.kind === 'chat' ? getChatRequest(flow, flow.work, customer, random) : getServiceRequest(flow.work, key);
--- a/packages/trial/src/queries/get-flows.ts
+++ b/packages/trial/src/queries/get-flows.ts
@@ -6,7 +6,7 @@
 	= | {kind: 'chat'; model: string; sharedWords: number; ownWords: number; meanTokens: number}
 		| {kind: 'call'; method: 'GET' | 'POST'; path: string};
 
-/** A Poisson stream of requests of one class. */
+/** Requests of one class, which arrive as a Poisson process. */
 export type Flow = {
 	className: ClassName;
 	/** Mean number of requests a second outside bursts. */
--- a/packages/trial/src/queries/get-report.ts
+++ b/packages/trial/src/queries/get-report.ts
@@ -27,7 +27,7 @@
 	wastedShare: number;
 	/** Number of requests that failed. */
 	failed: number;
-	/** Number of retries. */
+	/** Number of retries by callers. */
 	retries: number;
 };
 
