--- /dev/null
+++ b/packages/soak/src/fake-upstream.ts
@@ -0,0 +1,230 @@
+import {
+	createServer, type IncomingMessage, type Server, type ServerResponse,
+} from 'node:http';
+import type {AddressInfo, Socket} from 'node:net';
+import {setTimeout as sleep} from 'node:timers/promises';
+import type {Address, Milliseconds} from '@gentianlift/types';
+import {eventsPerStream, getBody, getEvent} from './answers.js';
+import type {FakeUpstreamOptions, FakeUpstream} from './deployment.js';
+import type {UpstreamFailureMode} from './schedule.js';
+
+/** Entry of an upstream in the key-value service. */
+export type UpstreamEntry = {service: string; address: Address; id: string; slots: number; isLeaving: boolean; startedAt: number};
+
+/** The parts of a fake upstream that depend on the deployment's protocol. */
+export type UpstreamWire = {
+	/** Returns the key of an upstream's entry. */
+	getKey: (id: string) => string;
+	writeEntry: (entry: UpstreamEntry) => string;
+	/** Returns the id of the upstream that the request is intended for. */
+	getExpectedId: (request: IncomingMessage) => string | undefined;
+	/** Returns the unique id of the request, which its headers carry. */
+	getAttempt: (request: IncomingMessage) => string;
+	isStream: (request: IncomingMessage) => boolean;
+	/** Headers of an answer that states that the request was not executed. */
+	notRunHeaders: Record<string, string>;
+	getAnswerHeaders: (id: string, attempt: string) => Record<string, string>;
+	/** Bytes of an unsolicited HTTP answer, sent after a complete one. */
+	extraAnswer: string;
+};
+
+/** Maximum number of requests executed at a time. */
+const slots = 32;
+/** Time from the start of a request's execution to its answer. */
+const serviceTime: Milliseconds = 15;
+/** Factor on the service time in failure mode `slow`. */
+const slowFactor = 20;
+const eventInterval: Milliseconds = 15;
+/** Idle time after which a connection is reset at its next request in failure mode `idle-resets`. */
+const idleTimeout: Milliseconds = 300;
+/** Time after which the entry of a crashed upstream expires. */
+const entryTimeToLive: Milliseconds = 2000;
+/** Time for which an upstream still serves after it has announced that it leaves. */
+const drainTime: Milliseconds = 3500;
+/** Start time in the entry of an upstream's first incarnation; later incarnations count up from it. */
+const firstStartTime = 1_000_000;
+
+const listen = async (server: Server, ip: string, port: number): Promise<number> => {
+	await new Promise<void>(resolve => {
+		server.listen(port, ip, resolve);
+	});
+	return (server.address() as AddressInfo).port;
+};
+
+/** Starts a fake upstream and writes its entry into the key-value service. */
+export const startUpstream = async ({
+	service, name, ip, store, onExecute, openLink,
+}: FakeUpstreamOptions, protocol: UpstreamWire): Promise<FakeUpstream> => {
+	const idleSince = new WeakMap<Socket, Milliseconds>();
+	let failureMode: UpstreamFailureMode | undefined;
+	let incarnation = 0;
+	let inFlight = 0;
+	let id = name;
+	let isDown = false;
+	const timers = new Set<NodeJS.Timeout>();
+	const runAfter = (delay: Milliseconds, action: () => void): void => {
+		const timer = setTimeout(() => {
+			timers.delete(timer);
+			action();
+		}, delay);
+		timers.add(timer);
+	};
+
+	const reject = (response: ServerResponse, status: number): void => {
+		response.writeHead(status, {...protocol.notRunHeaders, 'content-length': 0});
+		response.end();
+	};
+
+	const writeStream = async (attempt: string, response: ServerResponse): Promise<void> => {
+		response.setHeader('content-type', 'text/event-stream');
+		for (let number = 1; number <= eventsPerStream && !response.destroyed; number++) {
+			response.write(getEvent(attempt, number));
+			if (failureMode === 'truncating' && number === eventsPerStream / 2) {
+				response.destroy();
+				return;
+			}
+
+			// eslint-disable-next-line no-await-in-loop -- Events are sent at intervals.
+			await sleep(eventInterval);
+		}
+
+		response.end();
+	};
+
+	const writeBody = (attempt: string, response: ServerResponse): void => {
+		const body = getBody(attempt);
+		response.setHeader('content-length', body.length);
+		if (failureMode === 'truncating') {
+			response.write(body.slice(0, body.length / 2));
+			runAfter(1, () => {
+				response.destroy();
+			});
+			return;
+		}
+
+		response.end(body);
+		if (failureMode === 'extra-bytes') {
+			response.socket?.write(protocol.extraAnswer);
+		}
+	};
+
+	const execute = async (request: IncomingMessage, response: ServerResponse, attempt: string): Promise<void> => {
+		onExecute({
+			attempt, service, upstream: id, at: 0,
+		});
+		await sleep(failureMode === 'slow' ? serviceTime * slowFactor : serviceTime);
+		if (failureMode === 'mute' || response.destroyed) {
+			return;
+		}
+
+		response.statusCode = failureMode === 'failing' ? 500 : 200;
+		response.setHeaders(new Map(Object.entries(protocol.getAnswerHeaders(id, attempt))));
+		if (protocol.isStream(request) && response.statusCode === 200) {
+			await writeStream(attempt, response);
+		} else {
+			writeBody(attempt, response);
+		}
+	};
+
+	const handleRequest = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+		const idleTime = performance.now() - (idleSince.get(request.socket) ?? performance.now());
+		if (failureMode === 'idle-resets' && idleTime > idleTimeout) {
+			request.socket.resetAndDestroy();
+			return;
+		}
+
+		request.resume();
+		if (protocol.getExpectedId(request) !== id) {
+			reject(response, 421);
+			return;
+		}
+
+		if (inFlight >= slots || failureMode === 'full') {
+			reject(response, 503);
+			return;
+		}
+
+		inFlight += 1;
+		await execute(request, response, protocol.getAttempt(request));
+		inFlight -= 1;
+		idleSince.set(request.socket, performance.now());
+	};
+
+	const server = createServer((request, response) => {
+		void handleRequest(request, response);
+	});
+	const port = await listen(server, ip, 0);
+	const address = await openLink(`${ip}:${port}`);
+	const getKey = (): string => protocol.getKey(id);
+	const publishEntry = (isLeaving: boolean): void => {
+		store.put(getKey(), protocol.writeEntry({
+			service, address, id, slots, isLeaving, startedAt: firstStartTime + incarnation,
+		}));
+	};
+
+	/** Stops listening and closes all connections, as the exit of an upstream's process would. */
+	const closeServer = (): void => {
+		isDown = true;
+		server.close();
+		server.closeAllConnections();
+	};
+
+	const restart = async (nextId: string): Promise<void> => {
+		store.remove(getKey());
+		incarnation += 1;
+		id = nextId;
+		inFlight = 0;
+		await listen(server, ip, port);
+		isDown = false;
+		publishEntry(false);
+	};
+
+	const beginFailure = (next: UpstreamFailureMode): void => {
+		const failedKey = getKey();
+		if (next === 'crash' || next === 'return-as-other') {
+			closeServer();
+			runAfter(entryTimeToLive, () => {
+				if (isDown && getKey() === failedKey) {
+					store.remove(failedKey);
+				}
+			});
+		} else if (next === 'leave') {
+			publishEntry(true);
+			runAfter(drainTime, () => {
+				if (failureMode === 'leave' && getKey() === failedKey) {
+					store.remove(failedKey);
+					closeServer();
+				}
+			});
+		}
+	};
+
+	const endFailure = (): void => {
+		if (isDown) {
+			void restart(failureMode === 'crash' ? id : `${name}-${incarnation + 1}`);
+		} else if (failureMode === 'leave') {
+			publishEntry(false);
+		}
+	};
+
+	publishEntry(false);
+	return {
+		setFailureMode(next) {
+			if (failureMode !== undefined) {
+				endFailure();
+			}
+
+			failureMode = next;
+			if (next !== undefined) {
+				beginFailure(next);
+			}
+		},
+		close() {
+			for (const timer of timers) {
+				clearTimeout(timer);
+			}
+
+			closeServer();
+		},
+	};
+};
--- /dev/null
+++ b/packages/soak/src/guarantees.ts
@@ -0,0 +1,134 @@
+import type {Milliseconds} from '@gentianlift/types';
+
+/** Kinds of requests that a soak's callers send. */
+export const requestKinds = ['booking', 'lookup', 'stream'] as const;
+/** One of `requestKinds`. */
+export type RequestKind = typeof requestKinds[number];
+
+/** How a request ended for its caller. */
+export type Outcome
+	/** The caller received a complete answer; `isOwn` if its body is the one that the upstream sent for this request. */
+	= | {kind: 'answered'; status: number; isOwn: boolean}
+		/** The connection broke, or the answer was truncated. */
+		| {kind: 'broken'; reason: string}
+		/** No connection was established, so that no host received the request. */
+		| {kind: 'unsent'; reason: string}
+		/** The caller gave up at its timeout before the answer was complete. */
+		| {kind: 'given-up'};
+
+/** A request as its caller observed it. Times are of the soak's monotonic clock. */
+export type Call = {
+	/** Unique id of the request. */
+	attempt: string;
+	kind: RequestKind;
+	service: string;
+	/** Index of the host that the request was sent to. */
+	host: number;
+	startedAt: Milliseconds;
+	endedAt: Milliseconds;
+	/** Time after which the caller gives up. */
+	timeout: Milliseconds;
+	outcome: Outcome;
+};
+
+/** The start of a request's execution at an upstream. */
+export type Execution = {attempt: string; service: string; upstream: string; at: Milliseconds};
+
+/** A period of time, both ends included. */
+export type Interval = {from: Milliseconds; to: Milliseconds};
+
+/** Everything recorded in one run, from which violations are found. */
+export type Observations = {
+	calls: Call[];
+	executions: Execution[];
+	/** Periods from SIGTERM to the exit of a host's process. */
+	shutdowns: Array<Interval & {host: number}>;
+	/** Periods of unplanned faults: a killed host with its restart, a paused host, and faults of links, upstreams and the key-value service. */
+	disturbances: Interval[];
+	/** Periods in which a host's process was shutting down, paused, killed or starting. */
+	outages: Array<Interval & {host: number}>;
+};
+
+/** A guarantee of the router that was broken for a request. */
+export type Violation = {guarantee: string; attempt: string; detail: string};
+
+/** Statuses that state that a request was not executed and won't be. */
+const notExecutedStatuses = new Set([408, 421, 429, 503]);
+/** Time beyond a caller's timeout within which a working host must have answered. */
+const answerGracePeriod: Milliseconds = 1000;
+/** Time after a fault during which requests still count as affected by it. */
+const disturbanceAftermath: Milliseconds = 3000;
+/** Time after SIGTERM in which a host still accepts requests and must serve them. */
+const shutdownServingPeriod: Milliseconds = 2500;
+/** A request sent within this time before the process exits may arrive too late. */
+const exitMargin: Milliseconds = 100;
+
+const overlaps = (interval: Interval, from: Milliseconds, to: Milliseconds): boolean => interval.from <= to && interval.to >= from;
+
+const groupByAttempt = (executions: readonly Execution[]): Map<string, Execution[]> => {
+	const groups = new Map<string, Execution[]>();
+	for (const execution of executions) {
+		groups.set(execution.attempt, [...(groups.get(execution.attempt) ?? []), execution]);
+	}
+
+	return groups;
+};
+
+const describeCall = ({kind, host, startedAt, endedAt, outcome}: Call): string =>
+	`${kind} at host ${host} from ${Math.round(startedAt)} to ${Math.round(endedAt)}: ${JSON.stringify(outcome)}`;
+
+/** Returns whether a request's connection broke during a graceful shutdown that no other fault overlapped. */
+const isLostInShutdown = (call: Call, {shutdowns, disturbances}: Observations): boolean => {
+	const {host, startedAt, endedAt, outcome} = call;
+	if (outcome.kind !== 'broken') {
+		return false;
+	}
+
+	const shutdown = shutdowns.find(interval => interval.host === host && overlaps(interval, startedAt, endedAt)
+		&& startedAt <= interval.from + shutdownServingPeriod && startedAt < interval.to - exitMargin);
+	return shutdown !== undefined && !disturbances.some(interval => overlaps(interval, Math.min(startedAt, shutdown.from) - disturbanceAftermath, endedAt));
+};
+
+/** Returns whether a caller gave up, beyond its timeout, on a host whose process was running normally. */
+const isUnanswered = ({host, startedAt, endedAt, timeout, outcome}: Call, {outages}: Observations): boolean =>
+	outcome.kind === 'given-up'
+	&& endedAt - startedAt > timeout + answerGracePeriod
+	&& !outages.some(interval => interval.host === host && overlaps(interval, startedAt - disturbanceAftermath, endedAt));
+
+const checkCall = (call: Call, executions: readonly Execution[], observations: Observations): Array<Omit<Violation, 'attempt'>> => {
+	const detail = describeCall(call);
+	const executedAt = executions.map(({upstream, at}) => `${upstream}@${Math.round(at)}`).join(', ');
+	const violations: Array<Omit<Violation, 'attempt'>> = [];
+	if (call.kind !== 'lookup' && executions.length > 1) {
+		violations.push({guarantee: 'a booking or a stream runs at most once', detail: `${detail}; ran at ${executedAt}`});
+	}
+
+	if (call.outcome.kind === 'answered' && notExecutedStatuses.has(call.outcome.status) && executions.length > 0) {
+		violations.push({guarantee: 'what is said not to have run has not', detail: `${detail}; ran at ${executedAt}`});
+	}
+
+	if (call.outcome.kind === 'answered' && call.outcome.status < 300 && !call.outcome.isOwn) {
+		violations.push({guarantee: 'an answer is whole and belongs to its request', detail});
+	}
+
+	if (executions.some(({service}) => service !== call.service)) {
+		violations.push({guarantee: 'a request runs at its own service', detail: `${detail}; ran at ${executedAt}`});
+	}
+
+	if (isUnanswered(call, observations)) {
+		violations.push({guarantee: 'a host that works answers in time', detail});
+	}
+
+	if (isLostInShutdown(call, observations)) {
+		violations.push({guarantee: 'a graceful shutdown loses no request', detail});
+	}
+
+	return violations;
+};
+
+/** Finds the guarantees that were broken, by request. */
+export const findViolations = (observations: Observations): Violation[] => {
+	const executionsByAttempt = groupByAttempt(observations.executions);
+	return observations.calls.flatMap(call =>
+		checkCall(call, executionsByAttempt.get(call.attempt) ?? [], observations).map(violation => ({attempt: call.attempt, ...violation})));
+};
