--- a/packages/claims/src/commands/claim-client.test.ts
+++ b/packages/claims/src/commands/claim-client.test.ts
@@ -151,7 +151,7 @@
 	const request = createRequest('a', 1);
 	const id = createBookingId(request.request, request.key);
 	await runUntilSettled(a.claim({...request, request: id}));
-	expect(await runUntilSettled(b.readClaimOfRequest(id))).toMatchObject({kind: 'found', claim: {customer: 'kopi'}});
+	expect(await runUntilSettled(b.readClaimByRequestId(id))).toMatchObject({kind: 'found', claim: {customer: 'kopi'}});
 });
 
 test('batches many claims into few writes', async () => {
--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -6,7 +6,7 @@
 import {readClaim, readClaimByRequestId, type ClaimRead} from '../queries/read-claim.js';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
 import {getOwnerKey, getSlot} from '../slots/slot.js';
-import {createClaimOwner, type ClaimOwner} from './claim-owner.js';
+import {createClaimOwner, type ClaimOwner} from './claim-store.js';
 import {createSettlementQueue} from './settlement-queue.js';
 
 /** Dependencies and options of a claim client. */
@@ -19,7 +19,7 @@
 	peers: Pick<PeerCalls, 'claim' | 'settleClaim'>;
 	/** Returns the host that batches the writes of a slot; undefined when none is known. */
 	getOwner: (ownerKey: string) => HostId | undefined;
-	/** This host's claim owner, whose slot writer the client uses too; created if absent. */
+	/** This host's store for claims, whose slot writer the client uses too; created if absent. */
 	owner?: ClaimOwner;
 	/** Whether the incarnation of a host is known to have ended; false while that is uncertain. */
 	isGone?: (host: HostId, incarnation: Incarnation) => boolean;
@@ -39,28 +39,29 @@
 	settle: (settlement: ClaimSettlement) => void;
 	/** Reads the claim of a key from the service. */
 	readClaim: (key: ClaimKey) => Promise<ClaimRead>;
-	/** Finds the claim of a non-idempotent request by its id, even if the host that ran it is gone. */
-	readClaimOfRequest: (request: RequestId) => Promise<ClaimRead>;
+	/** Finds the claim of a non-idempotent request by its id, even if the host that claimed it is gone. */
+	readClaimByRequestId: (request: RequestId) => Promise<ClaimRead>;
 	/** Waits until all settlements are stored, at most for `limit`; returns the number left. */
 	drain: (limit?: Milliseconds) => Promise<number>;
 };
 
 /** Default time for draining, in milliseconds. */
 const drainTimeout = 10_000;
-const maxGivenUpAttempts = 10_000;
+/** Number of withdrawn requests that a host remembers. */
+const maxWithdrawnRequests = 10_000;
 /** Delays in milliseconds between polls for the outcome of another request. */
 const pollDelay = {initial: 100, max: 1000};
 const pollDelayGrowth = 1.5;
 
-/** Creates the set of attempts that were given up and must never start; the oldest are dropped beyond its limit. */
-const createGivenUpAttempts = () => {
+/** Creates the set of requests that this host has withdrawn, so that they must never start; the oldest are dropped beyond its limit. */
+const createWithdrawnRequests = () => {
 	const requests = new Set<RequestId>();
 	return {
 		has: (request: RequestId) => requests.has(request),
 		add(request: RequestId) {
 			requests.add(request);
 			const [oldest] = requests;
-			if (requests.size > maxGivenUpAttempts && oldest !== undefined) {
+			if (requests.size > maxWithdrawnRequests && oldest !== undefined) {
 				requests.delete(oldest);
 			}
 		},
@@ -78,7 +79,7 @@
 		return host === self ? undefined : host;
 	};
 
-	/** Claims at this host after the slot's owner gave no answer. The owner may have stored the claim, or may still store it. */
+	/** Stores the claim at this host after the slot's owner gave no answer. If the reason is `unknown`, the owner may have received the request: it may have stored the claim, or may still store it. */
 	const claimLocally = async (request: ClaimRequest, reason: string): Promise<ClaimDecision> => {
 		metrics.count('claim_fallbacks', {reason});
 		const decision = await owner.claim(self, request);
@@ -115,22 +116,22 @@
 	const settlements = createSettlementQueue({
 		clock, random, metrics, send: sender.settle,
 	});
-	const givenUp = createGivenUpAttempts();
+	const withdrawnRequests = createWithdrawnRequests();
 
-	/** Ensures that an attempt whose claim may be stored after all never starts, and releases its key. */
-	const giveUpAttempt = (request: ClaimRequest): void => {
-		givenUp.add(request.request);
+	/** Withdraws a request whose claim may be stored after all: it never starts, and its key becomes free for another request. */
+	const withdrawRequest = (request: ClaimRequest): void => {
+		withdrawnRequests.add(request.request);
 		settlements.add({key: request.key, request: request.request, outcome: {kind: 'not-run'}});
 	};
 
 	const claim = async (request: ClaimRequest): Promise<ClaimDecision> => {
-		if (givenUp.has(request.request)) {
+		if (withdrawnRequests.has(request.request)) {
 			return {kind: 'unavailable', reason: 'the attempt was given up'};
 		}
 
 		const decision = await sender.claim(request);
 		if (decision.kind === 'unavailable' && decision.undetermined === true) {
-			giveUpAttempt(request);
+			withdrawRequest(request);
 		}
 
 		return decision;
@@ -156,13 +157,13 @@
 		},
 		settle(settlement) {
 			if (settlement.outcome.kind === 'not-run') {
-				givenUp.add(settlement.request);
+				withdrawnRequests.add(settlement.request);
 			}
 
 			settlements.add(settlement);
 		},
 		readClaim: async key => readClaim(owner.slots, key, limits),
-		readClaimOfRequest: async request => readClaimByRequestId(owner.slots, request),
+		readClaimByRequestId: async request => readClaimByRequestId(owner.slots, request),
 		drain: async (limit = drainTimeout) => settlements.drain(limit),
 	};
 };
--- a/packages/claims/src/commands/claim-removal.ts
+++ b/packages/claims/src/commands/claim-removal.ts
@@ -2,8 +2,8 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {HostId, KeyValueService, Milliseconds} from '@gentianlift/types';
 import {
-	bucketFloorKey, readBucketFloor, writeBucketFloor, type BucketFloor,
-} from '../slots/bucket-floor.js';
+	removalProgressKey, readRemovalProgress, writeRemovalProgress, type RemovalProgress,
+} from '../slots/removal-progress.js';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
 import {getBucketPrefix} from '../slots/slot.js';
 
@@ -56,31 +56,31 @@
 	};
 
 	/** Closes the buckets that are old enough and returns the bucket floor, or undefined if a call failed. Closing precedes removal, so that a late claim for a removed bucket is refused. */
-	const closeOldBuckets = async (): Promise<(BucketFloor & {revision: number}) | undefined> => {
-		const floor = await readBucketFloor(keyValue);
-		if (floor.kind === 'unavailable') {
+	const closeOldBuckets = async (): Promise<(RemovalProgress & {revision: number}) | undefined> => {
+		const progress = await readRemovalProgress(keyValue);
+		if (progress.kind === 'unavailable') {
 			return undefined;
 		}
 
 		const endBucket = Math.floor((clock.now() - limits.retention - clockSkewMargin) / limits.bucketDuration);
-		if (floor.before >= endBucket) {
-			return floor;
+		if (progress.before >= endBucket) {
+			return progress;
 		}
 
-		const next: BucketFloor = {before: endBucket, removedBefore: floor.revision === 0 ? endBucket : floor.removedBefore};
-		const outcome = await writeBucketFloor(keyValue, next, floor.revision);
+		const next: RemovalProgress = {before: endBucket, removedBefore: progress.revision === 0 ? endBucket : progress.removedBefore};
+		const outcome = await writeRemovalProgress(keyValue, next, progress.revision);
 		return outcome.kind === 'applied' ? {...next, revision: outcome.revision} : undefined;
 	};
 
 	const remove = async (): Promise<number> => {
-		const floor = await closeOldBuckets();
-		if (floor === undefined) {
+		const progress = await closeOldBuckets();
+		if (progress === undefined) {
 			return 0;
 		}
 
-		const endBucket = Math.min(floor.before, floor.removedBefore + maxBucketsPerRun);
+		const endBucket = Math.min(progress.before, progress.removedBefore + maxBucketsPerRun);
 		let removed = 0;
-		let bucket = floor.removedBefore;
+		let bucket = progress.removedBefore;
 		for (; bucket < endBucket; bucket++) {
 			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the service.
 			const count = await removeBucket(bucket);
@@ -91,8 +91,8 @@
 			removed += count;
 		}
 
-		if (bucket > floor.removedBefore) {
-			await writeBucketFloor(keyValue, {before: floor.before, removedBefore: bucket}, floor.revision);
+		if (bucket > progress.removedBefore) {
+			await writeRemovalProgress(keyValue, {before: progress.before, removedBefore: bucket}, progress.revision);
 		}
 
 		return removed;
@@ -100,7 +100,7 @@
 
 	let isRunning = false;
 	const run = async (): Promise<void> => {
-		if (isRunning || getOwner(bucketFloorKey) !== self) {
+		if (isRunning || getOwner(removalProgressKey) !== self) {
 			return;
 		}
 
--- a/packages/claims/src/commands/claim-owner.ts
+++ b/packages/claims/src/commands/claim-store.ts
@@ -8,7 +8,7 @@
 import {createSlotWriter, type SlotWriter} from '../slots/slot-writer.js';
 import {getSlot} from '../slots/slot.js';
 
-/** Dependencies and options of a claim owner. */
+/** Dependencies and options of a store for claims. */
 export type ClaimOwnerOptions = {
 	clock: Clock;
 	random: Random;
@@ -19,17 +19,17 @@
 	limits?: ClaimLimits;
 };
 
-/** Stores claims in their slots. Any host may write any slot; routing the claims of all hosts through the slot's owner lets it batch their writes. */
+/** Stores claims in slots on this host, whether or not the host owns the slot. Any host may write any slot; sending the claims of all hosts to the slot's owner lets it batch their writes. */
 export type ClaimOwner = {
 	/** Decides on a claim, and stores it if the request may start. */
 	claim: (from: HostId, request: ClaimRequest) => Promise<ClaimDecision>;
-	/** Stores a settlement. Never rejects; `retry` is set when the write to the service failed. */
+	/** Stores a settlement. Never rejects; `retry` is set when the write to the key-value service failed. */
 	settle: (from: HostId, settlement: ClaimSettlement) => Promise<SettlementOutcome>;
 	slots: SlotWriter;
 	limits: ClaimLimits;
 };
 
-/** Creates the claim owner of a host. */
+/** Creates the store for claims of a host. */
 export const createClaimOwner = (options: ClaimOwnerOptions): ClaimOwner => {
 	const {
 		clock, random, metrics, keyValue, limits = claimLimits, isGone = () => false,
--- a/packages/claims/src/commands/settlement-queue.ts
+++ b/packages/claims/src/commands/settlement-queue.ts
@@ -10,11 +10,11 @@
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	/** Attempts once to store a settlement. */
+	/** Tries once to store a settlement. */
 	send: (settlement: ClaimSettlement) => Promise<SettlementOutcome>;
 };
 
-/** Settlements that are not stored yet. It holds only requests that were in flight at this host, so its size is bounded by their number. */
+/** Settlements that are not stored yet. While the key-value service is unavailable no request starts, so only requests in flight, and withdrawn ones whose claims may have been stored, add to them. */
 export type SettlementQueue = {
 	/** Queues a settlement, unless one of the same request is queued already. */
 	add: (settlement: ClaimSettlement) => void;
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,5 +1,5 @@
 export {createClaimClient, type ClaimClient, type ClaimClientOptions} from './commands/claim-client.js';
-export {createClaimOwner, type ClaimOwner, type ClaimOwnerOptions} from './commands/claim-owner.js';
+export {createClaimOwner, type ClaimOwner, type ClaimOwnerOptions} from './commands/claim-store.js';
 export {createClaimRemoval, type ClaimRemoval, type ClaimRemovalOptions} from './commands/claim-removal.js';
 export type {AccountEvent} from './queries/account-event.js';
 export {createAccounts, type Accounts, type AccountsOptions} from './queries/accounts.js';
--- a/packages/claims/src/queries/account-event.ts
+++ b/packages/claims/src/queries/account-event.ts
@@ -2,7 +2,7 @@
 	Account, Attempt, AttemptOutcome, Milliseconds, RequestId, RunState, UpstreamId,
 } from '@gentianlift/types';
 
-/** Event in the life of a request that its account records. */
+/** Event of a request that changes its account, the record of whether it ran and of its attempts. */
 export type AccountEvent
 	= | {kind: 'attempt-started'; request: RequestId; upstream: UpstreamId}
 		| {kind: 'attempt-ended'; request: RequestId; upstream: UpstreamId; outcome: AttemptOutcome; tokens: number; ran: RunState}
@@ -31,7 +31,7 @@
 	return previous === 'unknown' || attempt === 'unknown' ? 'unknown' : 'not-run';
 };
 
-/** Returns the run state of an account; attempts that were refused or unreachable did not run. */
+/** Returns whether the request ran in the account's attempts: `not-run` if all of them were refused or unreachable, else the account's own run state. */
 const getPreviousRunState = (account: Account): RunState => account.attempts.some(({outcome}) => outcome !== 'refused' && outcome !== 'unreachable')
 	? account.ran
 	: 'not-run';
--- a/packages/claims/src/queries/accounts.ts
+++ b/packages/claims/src/queries/accounts.ts
@@ -2,7 +2,7 @@
 import type {Account, ClassifiedRequest, RequestId} from '@gentianlift/types';
 import {applyAccountEvent, type AccountEvent} from './account-event.js';
 
-/** Accounts of the recent requests of this host: their state, attempts and whether they ran. */
+/** Accounts of the recent requests of this host. The account of a request tells its state, whether it ran, and its attempts. */
 export type Accounts = {
 	/** Adds the account of a request, in the waiting state. */
 	open: (request: ClassifiedRequest) => void;
--- a/packages/claims/src/queries/claim-account.ts
+++ b/packages/claims/src/queries/claim-account.ts
@@ -2,6 +2,7 @@
 	Account, AccountState, Attempt, AttemptOutcome, Claim, HostId, Incarnation, RunState,
 } from '@gentianlift/types';
 
+/** Reported when the host that claimed the request is gone; the request itself runs on an upstream. */
 const hostGoneReason = 'the host that ran the request is gone';
 
 const getAccountState = (claim: Claim, isGone: boolean): AccountState => {
@@ -47,7 +48,7 @@
 	}];
 };
 
-/** Derives the account of a non-idempotent request from its claim, for hosts that have no account of the request. */
+/** Derives the account of a non-idempotent request, which tells whether it ran, from its claim, for hosts that have no account of the request. */
 export const getClaimAccount = (claim: Claim, isGone: (host: HostId, incarnation: Incarnation) => boolean): Account => ({
 	id: claim.request,
 	customer: claim.customer,
--- a/packages/claims/src/queries/read-claim.ts
+++ b/packages/claims/src/queries/read-claim.ts
@@ -12,10 +12,10 @@
 		| {kind: 'absent'}
 		| {kind: 'unavailable'; reason: string};
 
-/** Reads slots from the service. */
+/** Reads slots from the key-value service. */
 export type SlotReader = {read: (slot: Slot) => Promise<SlotRead>};
 
-/** Reads the claim of a key from the service. */
+/** Reads the claim of a key from the key-value service. */
 export const readClaim = async (slots: SlotReader, key: ClaimKey, limits: ClaimLimits): Promise<ClaimRead> => {
 	const read = await slots.read(getSlot(key, limits));
 	if (read.kind === 'unavailable') {
@@ -32,7 +32,7 @@
 	return compact === undefined ? {kind: 'absent'} : {kind: 'found', claim: expandCompactClaim(key, compact)};
 };
 
-/** Reads the claim of a non-idempotent request by its id; absent for the id of an idempotent request. */
+/** Reads the claim of a non-idempotent request by its id; absent for the id of an idempotent request, and once the claim was compacted or replaced by that of another request with its key. */
 export const readClaimByRequestId = async (slots: SlotReader, request: RequestId): Promise<ClaimRead> => {
 	const slot = parseSlotFromRequestId(request);
 	if (slot === undefined) {
--- a/packages/claims/src/slots/apply-claim.ts
+++ b/packages/claims/src/slots/apply-claim.ts
@@ -1,7 +1,7 @@
 import type {
 	Claim, ClaimDecision, ClaimKey, ClaimRequest, HostId, Incarnation, Milliseconds,
 } from '@gentianlift/types';
-import {addGivenUp, isGivenUp} from './given-up-attempts.js';
+import {addWithdrawn, isWithdrawn} from './withdrawn-requests.js';
 import {getKeyTimestamp} from './key-timestamp.js';
 import type {ClaimLimits} from './limits.js';
 import type {CompactClaim, SlotState} from './slot-state.js';
@@ -46,21 +46,21 @@
 	return timestamp > now + limits.maxTimestampLead ? {kind: 'invalid', reason: 'the time in the key is ahead'} : undefined;
 };
 
-/** Starts a request. Its claim replaces the previous one of the key, whose request did not run, and records that attempt as given up. */
+/** Starts a request. Its claim replaces the previous one of the key, if there is one, whose request did not run, and records that request as withdrawn. */
 const createStartTransition = (request: ClaimRequest, {now, limits}: ClaimContext, previous?: Claim): ClaimTransition => {
 	const refusal = getTimestampRefusal(request.key, now, limits);
 	if (refusal !== undefined) {
 		return {decision: refusal};
 	}
 
-	const claim: Claim = {...createClaim(request, now), ...(previous !== undefined && {givenUp: addGivenUp(previous, previous.request)})};
+	const claim: Claim = {...createClaim(request, now), ...(previous !== undefined && {givenUp: addWithdrawn(previous, previous.request)})};
 	return {decision: {kind: 'start', claim}, change: {keyHash: getKeyHash(request.key), claim}};
 };
 
-const givenUpDecision: ClaimDecision = {kind: 'unavailable', reason: 'the attempt was given up'};
+const withdrawnDecision: ClaimDecision = {kind: 'unavailable', reason: 'the attempt was given up'};
 
-/** Decides on a repeated claim by the attempt that holds the key. */
-const getDecisionForSameAttempt = (claim: Claim): ClaimDecision => {
+/** Decides on a repeated claim by the request that holds the key. */
+const getDecisionForSameRequest = (claim: Claim): ClaimDecision => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
 			return {kind: 'start', claim};
@@ -71,7 +71,7 @@
 		}
 
 		case 'not-run': {
-			return givenUpDecision;
+			return withdrawnDecision;
 		}
 
 		case 'unknown': {
@@ -80,8 +80,8 @@
 	}
 };
 
-/** Decides on a claim of a key that another attempt holds. */
-const applyToOtherAttempt = (claim: Claim, request: ClaimRequest, context: ClaimContext): ClaimTransition => {
+/** Decides on a claim of a key that another request holds. */
+const applyToOtherRequest = (claim: Claim, request: ClaimRequest, context: ClaimContext): ClaimTransition => {
 	switch (claim.outcome.kind) {
 		case 'claimed': {
 			return {decision: {kind: context.isGone(claim.host, claim.incarnation) ? 'unknown' : 'in-progress', claim}};
@@ -122,7 +122,7 @@
 	return {decision: {kind: compact.kind === 'finished' ? 'done' : 'unknown', claim}};
 };
 
-/** Whether a request may use the key of a claim. A claim that was released before it was stored has an empty digest and matches every request. */
+/** Whether a request may use the key of a claim. The placeholder for a request that was withdrawn before its claim was stored has an empty digest, and matches every request. */
 const hasMatchingDigest = (claim: Claim, request: ClaimRequest): boolean => claim.digest === request.digest || claim.digest === '';
 
 /** Decides whether a request may start, given the state of its slot. */
@@ -130,15 +130,15 @@
 	const keyHash = getKeyHash(request.key);
 	const claim = state.claims.get(keyHash);
 	if (claim?.request === request.request) {
-		return {decision: getDecisionForSameAttempt(claim)};
+		return {decision: getDecisionForSameRequest(claim)};
 	}
 
-	if (claim !== undefined && isGivenUp(claim, request.request)) {
-		return {decision: givenUpDecision};
+	if (claim !== undefined && isWithdrawn(claim, request.request)) {
+		return {decision: withdrawnDecision};
 	}
 
 	if (claim !== undefined) {
-		return hasMatchingDigest(claim, request) ? applyToOtherAttempt(claim, request, context) : {decision: {kind: 'mismatch'}};
+		return hasMatchingDigest(claim, request) ? applyToOtherRequest(claim, request, context) : {decision: {kind: 'mismatch'}};
 	}
 
 	const compact = state.compact.get(keyHash);
--- a/packages/claims/src/slots/apply-settlement.ts
+++ b/packages/claims/src/slots/apply-settlement.ts
@@ -2,7 +2,7 @@
 	Claim, ClaimOutcome, ClaimSettlement, Milliseconds, SettlementOutcome,
 } from '@gentianlift/types';
 import {getTimestampRefusal, type SlotChange} from './apply-claim.js';
-import {addGivenUp, isGivenUp} from './given-up-attempts.js';
+import {addWithdrawn, isWithdrawn} from './withdrawn-requests.js';
 import type {ClaimLimits} from './limits.js';
 import type {SlotState} from './slot-state.js';
 import {getKeyHash} from './slot.js';
@@ -35,8 +35,8 @@
 	return rest;
 };
 
-/** Records that an attempt without a stored claim was given up, so that a claim that arrives late can't start it. */
-const applyReleaseWithoutClaim = (settlement: ClaimSettlement, {now, limits}: SettlementContext): SettlementTransition => {
+/** Withdraws a request without a stored claim, so that a claim that arrives late can't start it. Stores a placeholder with an empty digest, as a settlement has none; it fits any request. */
+const applyWithdrawalWithoutClaim = (settlement: ClaimSettlement, {now, limits}: SettlementContext): SettlementTransition => {
 	const isTimestampRefused = getTimestampRefusal(settlement.key, now, limits) !== undefined;
 	if (settlement.outcome.kind !== 'not-run' || isTimestampRefused) {
 		return {outcome: {stored: false}};
@@ -48,29 +48,29 @@
 	return {outcome: {stored: true}, change: {keyHash: getKeyHash(settlement.key), claim}};
 };
 
-/** Records in the claim of another attempt that this attempt was given up, in case its own claim arrives later. */
-const applyReleaseToOtherClaim = (claim: Claim, settlement: ClaimSettlement, keyHash: string): SettlementTransition => {
+/** Records in the claim of another request that this request was withdrawn, in case its own claim arrives later. */
+const applyWithdrawalToOtherClaim = (claim: Claim, settlement: ClaimSettlement, keyHash: string): SettlementTransition => {
 	if (settlement.outcome.kind !== 'not-run') {
 		return {outcome: {stored: false}};
 	}
 
-	if (isGivenUp(claim, settlement.request)) {
+	if (isWithdrawn(claim, settlement.request)) {
 		return {outcome: {stored: true}};
 	}
 
-	return {outcome: {stored: true}, change: {keyHash, claim: {...claim, givenUp: addGivenUp(claim, settlement.request)}}};
+	return {outcome: {stored: true}, change: {keyHash, claim: {...claim, givenUp: addWithdrawn(claim, settlement.request)}}};
 };
 
-/** Settles a claim. Only the attempt that holds the claim can settle it, and only once: a stored outcome is final. */
+/** Settles a claim. Only the request that holds the claim can settle it, and only once: a stored outcome is final. */
 export const applySettlement = (state: SlotState, settlement: ClaimSettlement, context: SettlementContext): SettlementTransition => {
 	const keyHash = getKeyHash(settlement.key);
 	const claim = state.claims.get(keyHash);
 	if (claim === undefined) {
-		return state.compact.has(keyHash) ? {outcome: {stored: false}} : applyReleaseWithoutClaim(settlement, context);
+		return state.compact.has(keyHash) ? {outcome: {stored: false}} : applyWithdrawalWithoutClaim(settlement, context);
 	}
 
 	if (claim.request !== settlement.request) {
-		return applyReleaseToOtherClaim(claim, settlement, keyHash);
+		return applyWithdrawalToOtherClaim(claim, settlement, keyHash);
 	}
 
 	if (claim.outcome.kind !== 'claimed') {
--- a/packages/claims/src/slots/commit.ts
+++ b/packages/claims/src/slots/commit.ts
@@ -51,7 +51,7 @@
 /** Delays in milliseconds between the retries of a failed call. */
 const backoff = {initial: 10, max: 200};
 const maxExponent = 8;
-const floorUnavailableReason = 'the floor could not be read';
+const progressUnavailableReason = 'the floor could not be read';
 
 const getBackoff = (retries: number, random: Random): Milliseconds =>
 	Math.min(backoff.max, backoff.initial * (2 ** Math.min(retries, maxExponent))) * (0.5 + random.next());
@@ -142,12 +142,12 @@
 	/** Answers the operations from a state that the service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
 	const answerBatch = async (cachedSlot: CachedSlot, snapshot: SlotSnapshot, pending: readonly PendingOperation[], answers: OperationAnswer[]): Promise<string> => {
 		if (!snapshot.state.checked && cachedSlot.slot.kind === 'timed') {
-			const floor = await store.readBucketFloor();
-			if (floor.kind === 'unavailable') {
-				return floorUnavailableReason;
+			const progress = await store.readRemovalProgress();
+			if (progress.kind === 'unavailable') {
+				return progressUnavailableReason;
 			}
 
-			if (floor.before > cachedSlot.slot.bucket) {
+			if (progress.before > cachedSlot.slot.bucket) {
 				cachedSlot.snapshot = undefined;
 				resolveAnswered(pending, ({operation}) => getClosedBucketAnswer(operation));
 				await store.remove(cachedSlot.slot, snapshot.revision);
--- a/packages/claims/src/slots/slot-state.ts
+++ b/packages/claims/src/slots/slot-state.ts
@@ -13,7 +13,7 @@
 export type SlotState = {
 	/** Unique to each write, so that no two writes have the same value. */
 	token: string;
-	/** Whether the bucket floor was read after the slot was created; until then no claim in it is answered. */
+	/** Whether the bucket of a timed slot was found open, so that it isn't checked again. Until then, the removal progress is read before an operation on the slot is answered. Always false for untimed keys. */
 	checked: boolean;
 	/** Claims by key hash, in the order in which they were added. */
 	claims: Map<string, Claim>;
--- a/packages/claims/src/slots/slot-store.ts
+++ b/packages/claims/src/slots/slot-store.ts
@@ -1,7 +1,7 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {KeyValueService, WriteOutcome} from '@gentianlift/types';
 import PQueue from 'p-queue';
-import {readBucketFloor, type BucketFloorRead} from './bucket-floor.js';
+import {readRemovalProgress, type RemovalProgressRead} from './removal-progress.js';
 import {
 	createSlotState, parseSlotState, serializeSlotState, type SlotState,
 } from './slot-state.js';
@@ -20,7 +20,7 @@
 	write: (slot: Slot, state: SlotState, expected: number) => Promise<WriteOutcome>;
 	/** Removes a slot if its revision is `expected`. */
 	remove: (slot: Slot, expected: number) => Promise<WriteOutcome>;
-	readBucketFloor: () => Promise<BucketFloorRead>;
+	readRemovalProgress: () => Promise<RemovalProgressRead>;
 };
 
 const maxConcurrentCalls = 16;
@@ -62,6 +62,6 @@
 			return runCall('write', async () => keyValue.compareAndSwap({key: getSlotKey(slot), value, expected}));
 		},
 		remove: async (slot, expected) => runCall('remove', async () => keyValue.remove(getSlotKey(slot), expected)),
-		readBucketFloor: async () => runCall('floor', async () => readBucketFloor(keyValue)),
+		readRemovalProgress: async () => runCall('floor', async () => readRemovalProgress(keyValue)),
 	};
 };
--- a/packages/discovery/src/exchange-reports.ts
+++ b/packages/discovery/src/exchange-reports.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Logger} from '@gentianlift/logger';
 import type {
-	Crash, CrashSuspects, UpstreamKey,
+	SuspectedCrash, CrashSuspects, UpstreamKey,
 } from '@gentianlift/routing';
 import type {HostId, Milliseconds} from '@gentianlift/types';
 import type {HostRecord} from './host-record.js';
@@ -18,7 +18,7 @@
 	/** Reports that a prompt was sent to an upstream. */
 	addPrefill: (prefill: Prefill) => void;
 	/** Reports a crash of an upstream that a request may have caused. */
-	addCrash: (crash: Crash) => void;
+	addCrash: (crash: SuspectedCrash) => void;
 	/** Reports that a suspected request has run to completion. */
 	addClearedSuspect: (fingerprint: string) => void;
 	/** Reports at once that this host is shutting down. */
@@ -73,7 +73,7 @@
 /** Number of reports that carry a crash, as datagrams get lost. */
 const crashRepeats = 6;
 
-type PendingCrash = {crash: Crash; remainingReports: number};
+type PendingCrash = {crash: SuspectedCrash; remainingReports: number};
 
 /** Starts to exchange load reports with the other hosts. */
 export const exchangeReports = (options: ReportExchangeOptions): LoadReportExchange => {
--- a/packages/discovery/src/load-report.ts
+++ b/packages/discovery/src/load-report.ts
@@ -1,4 +1,4 @@
-import type {Crash, PromptPart, UpstreamKey} from '@gentianlift/routing';
+import type {SuspectedCrash, PromptPart, UpstreamKey} from '@gentianlift/routing';
 import type {HostId, Incarnation} from '@gentianlift/types';
 import type {ReportedLoad} from './load-tracker.js';
 
@@ -16,7 +16,7 @@
 	/** Loads that have changed since the last report, or in a full report all that have changed lately. */
 	loads: ReportedLoad[];
 	prefills: Prefill[];
-	crashes: Crash[];
+	crashes: SuspectedCrash[];
 	/** Fingerprints of requests that were suspected of a crash and have since run to completion. */
 	cleared: string[];
 };
--- a/packages/forwarder/src/attempt.ts
+++ b/packages/forwarder/src/attempt.ts
@@ -1,6 +1,6 @@
 import {getUpstreamKey, type Upstream} from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
-import type {AttemptOutcome} from './attempt-outcome.js';
+import type {ForwardOutcome} from './forward-outcome.js';
 import type {Call, Progress} from './call.js';
 import {deliverStream, writeAnswerHead} from './deliver.js';
 import {deliverBuffered, isServerError} from './deliver-buffered.js';
@@ -8,30 +8,30 @@
 import {reportCrash} from './report-crash.js';
 import {send, type UpstreamRequest, type SendOutcome} from './send.js';
 import type {ForwarderContext} from './context.js';
-import type {Exchange} from './upstream-tracker.js';
+import type {RequestActivity} from './upstream-tracker.js';
 import type {Assignment} from './request-queue.js';
 
-/** Minimum wait for the head of an answer before an idempotent request is retried on another upstream. */
-const minFirstAttemptTimeout: Milliseconds = 300;
-/** Fraction of the remaining time that an attempt may wait for an answer while a retry is left. */
-const firstAttemptFraction = 0.4;
-/** Silence of an upstream after which a stream resumes on another one, in addition to the prefill time. */
-const streamSilenceTimeout: Milliseconds = 1000;
+/** Minimum wait for the head of an answer before an idempotent request, if another execution is allowed, is retried on another upstream. */
+const minHeadTimeout: Milliseconds = 300;
+/** Fraction of the remaining time that an attempt may wait for the head of an answer while another execution is allowed. */
+const headTimeoutFraction = 0.4;
+/** Silence of an upstream after which a stream that it runs resumes on another one, in addition to the prefill time. */
+const resumeSilence: Milliseconds = 1000;
 /** Prefill rate of the slowest engines, in tokens per millisecond. */
 const minPrefillRate = 15;
 /** Interval at which the silence of an upstream is checked. */
 const silenceCheckInterval: Milliseconds = 200;
 
-/** Returns the longest wait for the head of an answer; while a retry is possible, part of the remaining time is left for it. */
+/** Returns the longest wait for the head of an answer; while another execution is allowed, part of the remaining time is left for it. */
 const getHeadTimeout = (call: Call, progress: Progress, remainingTime: Milliseconds): Milliseconds => {
 	const mayRetryElsewhere = call.route.kind === 'idempotent' && progress.possibleExecutions + 1 < call.route.maxUpstreams;
-	return mayRetryElsewhere ? Math.min(remainingTime, Math.max(minFirstAttemptTimeout, remainingTime * firstAttemptFraction)) : remainingTime;
+	return mayRetryElsewhere ? Math.min(remainingTime, Math.max(minHeadTimeout, remainingTime * headTimeoutFraction)) : remainingTime;
 };
 
 /** Builds the request to an upstream; a stream resumes after the last event that was delivered. */
 const buildUpstreamRequest = (call: Call, progress: Progress, upstream: Upstream, context: ForwarderContext): UpstreamRequest => {
 	const remainingTime = Math.max(1, Math.floor(call.deadline - context.clock.monotonic()));
-	const headers = context.protocol.writeUpstreamHead({
+	const headers = context.protocol.buildUpstreamHeaders({
 		caller: call.head,
 		upstream,
 		customer: call.customer?.name,
@@ -46,13 +46,13 @@
 		target: call.target,
 		headers,
 		body: call.body,
-		attemptId: call.head.attemptId,
+		callerRequestId: call.head.callerRequestId,
 		headTimeout: getHeadTimeout(call, progress, remainingTime),
 	};
 };
 
 /** One attempt to run a call on an upstream. */
-type Attempt = {call: Call; progress: Progress; upstream: Upstream; context: ForwarderContext; load: RequestLoad; exchange: Exchange; startedAt: Milliseconds};
+type Attempt = {call: Call; progress: Progress; upstream: Upstream; context: ForwarderContext; load: RequestLoad; activity: RequestActivity; startedAt: Milliseconds};
 
 /** Records the time to first token: the prefill of this prompt and of those queued before it is complete. */
 const recordFirstToken = ({call, progress, upstream, context, load, startedAt}: Attempt): void => {
@@ -71,15 +71,15 @@
 };
 
 /** Delivers a streamed answer to the caller. */
-const deliverEvents = async (attempt: Attempt, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>): Promise<AttemptOutcome> => {
-	const {call, progress, context, exchange} = attempt;
+const deliverEvents = async (attempt: Attempt, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>): Promise<ForwardOutcome> => {
+	const {call, progress, context, activity} = attempt;
 	answer.message.on('data', () => {
-		exchange.recordBytes();
+		activity.recordBytes();
 		recordChunk(progress, context.clock.monotonic());
 	});
 	const delivery = await deliverStream({
 		head, answer, response: call.response, progress,
-		isResumable: call.isRetryable,
+		isResumable: call.mayExecuteAgain,
 		isClosing: context.isStopping(),
 		onFirstBytes() {
 			recordFirstToken(attempt);
@@ -96,7 +96,7 @@
 		}
 
 		case 'cut': {
-			const canResume = call.isRetryable || !call.response.headersSent;
+			const canResume = call.mayExecuteAgain || !call.response.headersSent;
 			return canResume ? {kind: 'failed', reason: delivery.reason} : {kind: 'spoiled', reason: delivery.reason};
 		}
 
@@ -107,7 +107,7 @@
 };
 
 /** Delivers the answer, if there is one, and maps the outcome of the request to that of the attempt. */
-const handleSendOutcome = async (attempt: Attempt, outcome: SendOutcome): Promise<AttemptOutcome> => {
+const handleSendOutcome = async (attempt: Attempt, outcome: SendOutcome): Promise<ForwardOutcome> => {
 	switch (outcome.kind) {
 		case 'unreachable': {
 			return outcome;
@@ -126,7 +126,7 @@
 		}
 
 		case 'answered': {
-			attempt.exchange.recordBytes();
+			attempt.activity.recordBytes();
 			const isStream = outcome.head.isEventStream && outcome.head.status < 300;
 			return isStream ? deliverEvents(attempt, outcome) : deliverBuffered(attempt.call, outcome, attempt.context.isStopping());
 		}
@@ -135,22 +135,22 @@
 
 /** Cancels the attempt of a resumable stream once its upstream is silent for too long; returns a function that stops watching. */
 const watchForSilence = ({call, upstream, context}: Attempt, unreadTokens: number, cancel: () => void): (() => void) => {
-	if (!call.isRetryable || call.route.kind !== 'streaming') {
+	if (!call.mayExecuteAgain || call.route.kind !== 'streaming') {
 		return () => undefined;
 	}
 
-	const silenceTimeout = streamSilenceTimeout + (unreadTokens / minPrefillRate);
+	const maxSilence = resumeSilence + (unreadTokens / minPrefillRate);
 	const {every} = context.clock;
 	return every(silenceCheckInterval, () => {
-		if (context.tracker.getSilence(upstream) > silenceTimeout) {
-			context.logger.info('upstream-silent', {request: call.head.attemptId, upstream: getUpstreamKey(upstream), limit: Math.round(silenceTimeout)});
+		if (context.tracker.getSilence(upstream) > maxSilence) {
+			context.logger.info('upstream-silent', {request: call.head.callerRequestId, upstream: getUpstreamKey(upstream), limit: Math.round(maxSilence)});
 			cancel();
 		}
 	});
 };
 
 /** Records the outcome in the state of the upstream, with the durations of all answers but streams. */
-const recordOutcome = ({call, upstream, context}: Attempt, outcome: AttemptOutcome, duration: Milliseconds): void => {
+const recordOutcome = ({call, upstream, context}: Attempt, outcome: ForwardOutcome, duration: Milliseconds): void => {
 	switch (outcome.kind) {
 		case 'delivered': {
 			const hasComparableDuration = call.route.kind !== 'streaming';
@@ -176,12 +176,16 @@
 	}
 };
 
-/** Whether the connection was lost before the end of the answer, as it is when the upstream crashes. */
-const isConnectionLoss = (outcome: AttemptOutcome): boolean =>
+/**
+ * Whether the connection was lost before the end of the answer, as it is when the upstream crashes. The reasons are the
+ * socket errors of a reset and of a write to a closed connection, `closed` for a close without an error, and `cut` for a
+ * body that ended incomplete.
+ */
+const isConnectionLoss = (outcome: ForwardOutcome): boolean =>
 	(outcome.kind === 'spoiled' || outcome.kind === 'failed') && ['ECONNRESET', 'EPIPE', 'closed', 'cut'].includes(outcome.reason);
 
 /** Sends a call to one upstream and delivers its answer. */
-export const attemptUpstream = async (call: Call, progress: Progress, {candidate, load}: Assignment, context: ForwarderContext): Promise<AttemptOutcome> => {
+export const attemptUpstream = async (call: Call, progress: Progress, {candidate, load}: Assignment, context: ForwarderContext): Promise<ForwardOutcome> => {
 	const {upstream, uncachedTokens} = candidate;
 	const key = getUpstreamKey(upstream);
 	const {prompt} = call.head;
@@ -193,9 +197,9 @@
 		uncachedTokens,
 		rereadTokens: candidate.rereadTokens,
 	};
-	const exchange = context.tracker.startExchange(upstream);
+	const activity = context.tracker.trackRequest(upstream);
 	const attempt: Attempt = {
-		call, progress, upstream, context, load, exchange, startedAt: context.clock.monotonic(),
+		call, progress, upstream, context, load, activity, startedAt: context.clock.monotonic(),
 	};
 	if (prompt !== undefined) {
 		context.tracker.recordPrefill(key, prompt);
@@ -203,7 +207,7 @@
 	}
 
 	const service = context.view.getRoutes()?.services.get(call.service);
-	// Each host uses an equal part of the service's connection limit, less 10 %.
+	// In each of the two connection pools of an upstream, a host uses an equal part of the service's connection limit, less 10 %, but at least 4 connections.
 	const connections = Math.max(4, Math.floor((service?.maxConnections ?? 64) * 0.9 / context.countHosts()));
 	const {outcome, cancel} = send(buildUpstreamRequest(call, progress, upstream, context), {
 		agent: context.tracker.getAgent(upstream, call.route.kind, connections), protocol: context.protocol, clock: context.clock,
@@ -212,7 +216,7 @@
 	const stopWatching = watchForSilence(attempt, candidate.load.unreadTokens + uncachedTokens, cancel);
 	const attemptOutcome = await handleSendOutcome(attempt, await outcome);
 	stopWatching();
-	exchange.end();
+	activity.end();
 	load.end();
 	const isAbandoned = progress.hasTimedOut || progress.isCallerGone;
 	if (!isAbandoned) {
--- a/packages/forwarder/src/call.ts
+++ b/packages/forwarder/src/call.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
 import {
-	isRetryable, type CustomerKeys, type Route, type UpstreamKey,
+	mayExecuteAgain, type ConfiguredCustomer, type Route, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import type {CallerHead} from './protocol.js';
@@ -15,10 +15,10 @@
 	body: Uint8Array;
 	route: Route;
 	service: string;
-	customer: CustomerKeys | undefined;
+	customer: ConfiguredCustomer | undefined;
 	rank: Rank;
-	/** Whether another upstream may run the request again, or resume its stream, after one may have executed it. */
-	isRetryable: boolean;
+	/** Whether another upstream may run the request again, or resume its stream, after one may have executed it; a request that is known not to have executed is retried anyway. */
+	mayExecuteAgain: boolean;
 	response: ServerResponse;
 	/** Version of the configuration that the route was taken from. */
 	version: number;
@@ -52,18 +52,18 @@
 
 const fingerprintHexDigits = 20;
 
-/** Returns a digest that is equal for all copies of a request by one caller. */
+/** Returns a digest that is equal for all copies of a request: those with the same method, path, body and API key. Requests that are suspected of crashes are identified by it. */
 export const getFingerprint = ({method, target, head, body}: Call): string =>
 	createHash('sha256').update(`${method} ${target}\n${head.key ?? ''}\n`).update(body).digest('hex').slice(0, fingerprintHexDigits);
 
 /** Fields of a call, without those derived from them. */
-export type CallParts = Omit<Call, 'rank' | 'isRetryable' | 'deadline'>;
+export type CallParts = Omit<Call, 'rank' | 'mayExecuteAgain' | 'deadline'>;
 
 /** Creates a call with its derived fields. */
 export const createCall = (parts: CallParts): Call => ({
 	...parts,
 	rank: parts.customer?.rank ?? parts.route.rank,
-	isRetryable: isRetryable(parts.route),
+	mayExecuteAgain: mayExecuteAgain(parts.route),
 	deadline: parts.arrivedAt + Math.min(parts.route.timeout, parts.head.clientTimeout ?? parts.route.timeout),
 });
 
--- a/packages/forwarder/src/crash-detector.ts
+++ b/packages/forwarder/src/crash-detector.ts
@@ -5,7 +5,7 @@
 
 /** Detects whether an upstream has crashed after a connection to it was lost. */
 export type CrashDetector = {
-	/** Resolves to true if the upstream refuses a new connection. Concurrent calls for one upstream share a probe. */
+	/** Resolves to true if the upstream refuses or resets a new connection. Concurrent calls for one upstream share a probe. */
 	detectCrash: (upstream: Upstream) => Promise<boolean>;
 };
 
@@ -14,7 +14,7 @@
 /** Time without a result after which an upstream counts as not crashed. */
 const probeTimeout: Milliseconds = 300;
 
-const isConnectionRefused = async (address: Address, clock: Clock): Promise<boolean> => new Promise(resolve => {
+const isRefusedOrReset = async (address: Address, clock: Clock): Promise<boolean> => new Promise(resolve => {
 	const socket = connect(splitAddress(address));
 	const cancel = clock.after(probeTimeout, () => {
 		finish(false);
@@ -40,7 +40,7 @@
 	const probe = async (upstream: Upstream): Promise<boolean> => {
 		await clock.sleep(probeDelay);
 		try {
-			return await isConnectionRefused(upstream.address, clock);
+			return await isRefusedOrReset(upstream.address, clock);
 		} finally {
 			pendingProbes.delete(getUpstreamKey(upstream));
 		}
--- a/packages/forwarder/src/deliver-buffered.ts
+++ b/packages/forwarder/src/deliver-buffered.ts
@@ -1,4 +1,4 @@
-import type {AttemptOutcome, BufferedAnswer} from './attempt-outcome.js';
+import type {ForwardOutcome, BufferedAnswer} from './forward-outcome.js';
 import type {Call} from './call.js';
 import {writeAnswerHead} from './deliver.js';
 import {readBody} from './read-body.js';
@@ -13,7 +13,7 @@
 const impliesNotExecuted = (status: number): boolean => [408, 421, 429, 503].includes(status);
 
 /** Buffers an answer until it is complete, and delivers it unless the request may be retried after a server error. */
-export const deliverBuffered = async (call: Call, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>, isClosing: boolean): Promise<AttemptOutcome> => {
+export const deliverBuffered = async (call: Call, {head, answer}: Extract<SendOutcome, {kind: 'answered'}>, isClosing: boolean): Promise<ForwardOutcome> => {
 	const body = await readBody(answer, maxBufferedBytes);
 	if (body.kind !== 'whole') {
 		return {kind: 'failed', reason: body.kind === 'broken' ? body.reason : body.kind};
@@ -25,7 +25,7 @@
 	}
 
 	const bufferedAnswer = {head, bytes: body.bytes};
-	if (isServerError(head.status) && call.isRetryable) {
+	if (isServerError(head.status) && call.mayExecuteAgain) {
 		return {kind: 'failed', reason: `status-${head.status}`, buffered: bufferedAnswer};
 	}
 
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -5,10 +5,10 @@
 import type {AnswerHead} from './protocol.js';
 
 /** How the delivery of a stream ended: `cut` before its end, `broken` if an event is missing, so that it can't be continued. */
-export type Delivery = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
+export type DeliveryOutcome = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
 
 /** Options of the delivery of a stream from an upstream to a caller. */
-export type StreamDelivery = {
+export type StreamDeliveryOptions = {
 	head: AnswerHead;
 	answer: Incoming;
 	response: ServerResponse;
@@ -43,7 +43,7 @@
 };
 
 /** Delivers a stream as it arrives, with backpressure from the caller. */
-export const deliverStream = async (delivery: StreamDelivery): Promise<Delivery> => new Promise(resolve => {
+export const deliverStream = async (delivery: StreamDeliveryOptions): Promise<DeliveryOutcome> => new Promise(resolve => {
 	const {
 		head, answer, response, progress, isResumable,
 	} = delivery;
--- a/packages/forwarder/src/error-answer.ts
+++ b/packages/forwarder/src/error-answer.ts
@@ -33,14 +33,14 @@
 /** Writes an error answer and ends the response. */
 export const writeErrorAnswer = ({response, protocol, caller, isClosing}: AnswerTarget, {kind, ran, retryAfter}: ErrorAnswer): void => {
 	const detail = {...(ran !== undefined && {ran}), ...(retryAfter !== undefined && {retryAfter})};
-	const body = Buffer.from(JSON.stringify(getErrorBody(createFailure(kind, detail), caller?.attemptId ?? '')));
+	const body = Buffer.from(JSON.stringify(getErrorBody(createFailure(kind, detail), caller?.callerRequestId ?? '')));
 	const headers = [
 		'Content-Type',
 		'application/json',
 		'Content-Length',
 		String(body.length),
 		...getRetryHeader(retryAfter),
-		...protocol.writeErrorHead(caller),
+		...protocol.buildErrorHeaders(caller),
 		...(isClosing ? ['Connection', 'close'] : []),
 	];
 	response.writeHead(errorTable[kind].status, headers);
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -4,7 +4,7 @@
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import {attemptUpstream} from './attempt.js';
-import type {AttemptOutcome} from './attempt-outcome.js';
+import type {ForwardOutcome} from './forward-outcome.js';
 import {
 	createProgress, getFingerprint, type Call, type Progress,
 } from './call.js';
@@ -15,14 +15,14 @@
 
 /** Sends each call to upstreams until one answers or no further attempt is allowed. */
 export type Forwarder = {
-	/** Forwards a call; resolves when the final answer was written or the caller has disconnected. */
+	/** Forwards a call; resolves when the final answer was written, or when the last attempt has ended after the caller disconnected or the deadline passed. */
 	forward: (call: Call) => Promise<void>;
 	/** Rechecks queued calls after the load of upstreams has changed. */
 	onLoadChange: () => void;
 };
 
 /** Retry-After of answers to requests that no upstream could take. */
-const retryDelay: Milliseconds = 500;
+const retryAfterDelay: Milliseconds = 500;
 
 /** How a call ended, as logged. */
 type CallEnd = {outcome: string; reason?: string};
@@ -61,10 +61,10 @@
 
 	/** Returns the error for a call without further attempts; after an attempt that may have executed, it must not claim the opposite. */
 	const getFinalError = (progress: Progress, kind: ErrorKind): ErrorAnswer =>
-		progress.possibleExecutions > 0 ? {kind: 'upstream-reset', ran: 'unknown'} : {kind, retryAfter: retryDelay};
+		progress.possibleExecutions > 0 ? {kind: 'upstream-reset', ran: 'unknown'} : {kind, retryAfter: retryAfterDelay};
 
 	/** Ends a call without further attempts, with the last upstream's own error answer if there is one. */
-	const giveUp = (call: Call, progress: Progress, lastOutcome: AttemptOutcome | undefined): CallEnd => {
+	const giveUp = (call: Call, progress: Progress, lastOutcome: ForwardOutcome | undefined): CallEnd => {
 		if (lastOutcome?.kind === 'failed' && lastOutcome.buffered !== undefined && !call.response.headersSent) {
 			writeBufferedAnswer(call, lastOutcome.buffered, context.isStopping());
 			return {outcome: 'upstream-failure', reason: lastOutcome.reason};
@@ -74,14 +74,14 @@
 	};
 
 	/** Decides whether to try another upstream; while no attempt has reached an upstream, the retry budget isn't charged. */
-	const decideNextAttempt = (call: Call, progress: Progress, lastOutcome: Exclude<AttemptOutcome, {kind: 'delivered'}>): boolean => {
+	const decideNextAttempt = (call: Call, progress: Progress, lastOutcome: Exclude<ForwardOutcome, {kind: 'delivered'}>): boolean => {
 		if (lastOutcome.kind === 'spoiled') {
 			return false;
 		}
 
 		const decision = decideRetry({
 			isNotExecuted: lastOutcome.kind !== 'failed',
-			isRetryable: call.isRetryable,
+			mayExecuteAgain: call.mayExecuteAgain,
 			possibleExecutions: progress.possibleExecutions,
 			maxUpstreams: call.route.maxUpstreams,
 			attempts: progress.attempts,
@@ -91,18 +91,18 @@
 		const outcome = decision.kind === 'stop' ? decision.reason : (isAllowed ? 'resend' : 'budget');
 		metrics.count('resend_decisions_total', {outcome});
 		logger.info('attempt-failed', {
-			request: call.head.attemptId, upstream: [...progress.tried].at(-1), kind: lastOutcome.kind, reason: lastOutcome.reason, decision: outcome,
+			request: call.head.callerRequestId, upstream: [...progress.tried].at(-1), kind: lastOutcome.kind, reason: lastOutcome.reason, decision: outcome,
 		});
 		return isAllowed;
 	};
 
 	/** Counts an attempt by its outcome. */
-	const countAttempt = (progress: Progress, lastOutcome: AttemptOutcome): void => {
+	const countAttempt = (progress: Progress, lastOutcome: ForwardOutcome): void => {
 		progress.attempts += lastOutcome.kind === 'unreachable' ? 0 : 1;
 		progress.possibleExecutions += lastOutcome.kind === 'failed' || lastOutcome.kind === 'spoiled' ? 1 : 0;
 	};
 
-	/** Whether copies of the request are suspected of crashing upstreams. */
+	/** Whether copies of the request have crashed so many upstreams that it must not be sent again. */
 	const isBlocked = (call: Call): boolean =>
 		!context.suspects.isEmpty() && context.suspects.isBlocked(getFingerprint(call), clock.monotonic());
 
@@ -120,7 +120,7 @@
 
 	/** Makes attempts until the call has ended. */
 	const makeAttempts = async (call: Call, progress: Progress): Promise<CallEnd> => {
-		let lastOutcome: AttemptOutcome | undefined;
+		let lastOutcome: ForwardOutcome | undefined;
 		for (;;) {
 			if (progress.isCallerGone) {
 				return {outcome: 'caller-gone'};
@@ -161,14 +161,14 @@
 	const endOnTimeout = (call: Call, progress: Progress): void => {
 		progress.hasTimedOut = true;
 		const isUnsent = progress.tried.size === 0;
-		answerWithError(call, isUnsent ? {kind: 'deadline-unreachable', retryAfter: retryDelay} : {kind: 'request-timeout', ran: 'unknown'});
+		answerWithError(call, isUnsent ? {kind: 'deadline-unreachable', retryAfter: retryAfterDelay} : {kind: 'request-timeout', ran: 'unknown'});
 		progress.cancel?.();
 	};
 
 	/** Cancels the attempt of a caller that has disconnected, except a request that is neither retryable nor a stream. */
 	const handleCallerDisconnect = (call: Call, progress: Progress): void => {
 		progress.isCallerGone = true;
-		if (call.isRetryable || call.route.kind === 'streaming') {
+		if (call.mayExecuteAgain || call.route.kind === 'streaming') {
 			progress.cancel?.();
 		}
 	};
@@ -178,7 +178,7 @@
 		metrics.count('calls_total', {route: call.route.name, outcome: end.outcome});
 		metrics.record('call_duration', duration, {route: call.route.name});
 		logger.info('call-ended', {
-			request: call.head.attemptId,
+			request: call.head.callerRequestId,
 			route: call.route.name,
 			service: call.service,
 			customer: call.customer?.name,
--- a/packages/forwarder/src/protocol.ts
+++ b/packages/forwarder/src/protocol.ts
@@ -6,8 +6,8 @@
 
 /** Parsed headers of a caller's request. */
 export type CallerHead = {
-	/** Id that the caller gave to this attempt of its request. */
-	attemptId: string | undefined;
+	/** Id that the caller gave to this request. */
+	callerRequestId: string | undefined;
 	hostname: string;
 	/** Key that authenticates the caller. */
 	key: string | undefined;
@@ -23,7 +23,7 @@
 };
 
 /** Input for the headers of a request to an upstream. */
-export type UpstreamHead = {
+export type UpstreamHeadInput = {
 	caller: CallerHead;
 	upstream: Upstream;
 	customer: CustomerId | undefined;
@@ -38,12 +38,12 @@
 /** Parsed head of an upstream's answer. */
 export type AnswerHead = {
 	status: number;
-	/** Id of the attempt that the upstream answers, if it names one. */
-	attemptId: string | undefined;
+	/** Caller's id of the request that the upstream answers, if it names one. */
+	callerRequestId: string | undefined;
 	/** Whether the upstream states that it has not executed the request and never will. */
 	isNotExecuted: boolean;
-	/** Whether the answer carries the signature header of an upstream; a success without it comes from something else. */
-	isSigned: boolean;
+	/** Whether the answer has the header that marks answers of upstreams; a success without it comes from something else, e.g. from another process that now has the address. */
+	hasUpstreamMark: boolean;
 	isEventStream: boolean;
 	/** Headers that are forwarded to the caller unchanged. */
 	forwarded: RawHeaders;
@@ -52,8 +52,9 @@
 /** Translation of headers on the wire between callers, this router and upstreams; makes no routing decisions. */
 export type Protocol = {
 	readCallerHead: (headers: RawHeaders) => CallerHead;
-	writeUpstreamHead: (head: UpstreamHead) => string[];
+	/** Returns the headers of a request to an upstream. */
+	buildUpstreamHeaders: (input: UpstreamHeadInput) => string[];
 	readAnswerHead: (status: number, headers: RawHeaders) => AnswerHead;
 	/** Returns additional headers of an error answer that the router generates. */
-	writeErrorHead: (caller: CallerHead | undefined) => string[];
+	buildErrorHeaders: (caller: CallerHead | undefined) => string[];
 };
--- a/packages/forwarder/src/report-crash.ts
+++ b/packages/forwarder/src/report-crash.ts
@@ -13,5 +13,5 @@
 	context.suspects.add(crash, context.clock.monotonic());
 	context.reportExchange.addCrash(crash);
 	context.tracker.recordUnreachable(upstream, 'crashed');
-	context.logger.info('upstream-crashed', {request: call.head.attemptId, upstream: crash.upstream, fingerprint: crash.fingerprint});
+	context.logger.info('upstream-crashed', {request: call.head.callerRequestId, upstream: crash.upstream, fingerprint: crash.fingerprint});
 };
--- a/packages/forwarder/src/request-load.ts
+++ b/packages/forwarder/src/request-load.ts
@@ -13,12 +13,12 @@
 	running: 0, unreadTokens: 0, latencySensitiveStreams: 0, queuedTokens: 0,
 };
 
-/** Adds to the number of prompt tokens queued at this host for an upstream, as reported to the other hosts. */
-export const addQueuedTokens = (reportExchange: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, queuedTokens: number): void => {
-	reportExchange.addLoad(upstream, {...noChange, queuedTokens});
+/** Changes the number of uncached prompt tokens queued at this host for an upstream, as reported to the other hosts; `change` may be negative. */
+export const addQueuedTokens = (reportExchange: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, change: number): void => {
+	reportExchange.addLoad(upstream, {...noChange, queuedTokens: change});
 };
 
-/** Adds a request to the load of an upstream; `latencySensitive` is 1 if prefills of long prompts beside it would make it miss its target. */
+/** Adds a request to the load of an upstream; `latencySensitive` is 1 if prefills of long prompts beside it would make it miss its target for the interval between events. */
 export const startRequestLoad = (reportExchange: Pick<LoadReportExchange, 'addLoad'>, upstream: UpstreamKey, unreadTokens: number, latencySensitive: 0 | 1): RequestLoad => {
 	let unread = unreadTokens;
 	const add = (change: Partial<LoadContribution>): void => {
--- a/packages/forwarder/src/request-queue.test.ts
+++ b/packages/forwarder/src/request-queue.test.ts
@@ -72,7 +72,7 @@
 	method: 'POST',
 	target: '/a/',
 	head: {
-		attemptId: name, hostname: 'a.example', key: undefined, clientTimeout: undefined, lastEventId: undefined, declaresBody: true, forwarded: [],
+		callerRequestId: name, hostname: 'a.example', key: undefined, clientTimeout: undefined, lastEventId: undefined, declaresBody: true, forwarded: [],
 		prompt: {
 			model: 'm', parts: [{id: name, tokens}], inputTokens: tokens, outputTokens: 10,
 		},
@@ -219,12 +219,12 @@
 
 test('an upstream that is silent while requests are in flight there gets no new ones', async () => {
 	const {clock, tracker} = createTestSetup(upstreams);
-	const exchange = tracker.startExchange(upstreams[0]!);
+	const activity = tracker.trackRequest(upstreams[0]!);
 	await clock.advance(800);
 	expect(getCandidateIds(tracker)).toEqual(['u2']);
-	exchange.recordBytes();
+	activity.recordBytes();
 	expect(getCandidateIds(tracker)).toEqual(['u1', 'u2']);
 	await clock.advance(800);
-	exchange.end();
+	activity.end();
 	expect(getCandidateIds(tracker)).toEqual(['u1', 'u2']);
 });
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -1,5 +1,5 @@
 import {
-	chooseUpstream, compareQueued, getBacklogLimit, getUpstreamKey, isLatencySensitiveRoute, type Candidate, type Placement, type RouteTable, type Service, type UpstreamKey,
+	chooseUpstream, compareQueued, getBacklogLimit, getUpstreamKey, isLatencySensitiveRoute, type Candidate, type RequestProfile, type RouteTable, type Service, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import type {Call, Progress} from './call.js';
@@ -29,7 +29,7 @@
 /** Smallest change of the tokens queued for an upstream that is reported to other hosts. */
 const minReportedTokenChange = 3000;
 
-type QueuedRequest = {
+type QueueEntry = {
 	call: Call;
 	progress: Progress;
 	enqueuedAt: Milliseconds;
@@ -45,7 +45,7 @@
 /** Creates an empty queue. */
 export const createRequestQueue = (context: ForwarderContext): RequestQueue => {
 	const {clock, view, tracker, metrics} = context;
-	let entries: QueuedRequest[] = [];
+	let entries: QueueEntry[] = [];
 	/** The next dispatch pass; undefined if none is scheduled. */
 	let nextDispatch: {at: Milliseconds; cancel: () => void} | undefined;
 	/** Earliest time of the next pass, by the pacing. */
@@ -66,34 +66,34 @@
 	};
 
 	/** Returns the remaining time until the route's latency target. */
-	const getSlack = ({call}: QueuedRequest): Milliseconds => call.arrivedAt + call.route.latencyTarget - clock.monotonic();
+	const getSlack = ({call}: QueueEntry): Milliseconds => call.arrivedAt + call.route.latencyTarget - clock.monotonic();
 
-	const getQueueOrder = (entry: QueuedRequest) => ({
+	const getQueueOrder = (entry: QueueEntry) => ({
 		rank: entry.call.rank,
 		dueAt: entry.call.arrivedAt + entry.call.route.latencyTarget,
 		isLate: getSlack(entry) <= 0,
 	});
 
-	const getPlacement = (entry: QueuedRequest, isLatencySensitive: boolean): Placement => ({
+	const getRequestProfile = (entry: QueueEntry, isLatencySensitive: boolean): RequestProfile => ({
 		zone: context.zone,
 		hasPrompt: entry.call.head.prompt !== undefined,
 		isLatencySensitive,
 		slack: getSlack(entry),
 	});
 
-	const getCandidates = ({call, progress}: QueuedRequest, service: Service, queuedTokens: QueuedTokens): Candidate[] => {
+	const getCandidates = ({call, progress}: QueueEntry, service: Service, tokensAhead: QueuedTokens): Candidate[] => {
 		const upstreams = view.getUpstreams(call.service).filter(upstream => !progress.tried.has(getUpstreamKey(upstream)));
-		return tracker.getCandidates(upstreams, service, call.head.prompt, queuedTokens);
+		return tracker.getCandidates(upstreams, service, call.head.prompt, tokensAhead);
 	};
 
 	/** Chooses an upstream for a call, and decides whether the call may go to it now; calls without a prompt are exempt from the backlog limit. */
-	const decide = (entry: QueuedRequest, queuedTokens: QueuedTokens): Decision => {
+	const decide = (entry: QueueEntry, tokensAhead: QueuedTokens): Decision => {
 		const {call} = entry;
 		const table = view.getRoutes();
 		const service = table?.services.get(call.service);
-		const candidates = service === undefined ? [] : getCandidates(entry, service, queuedTokens);
+		const candidates = service === undefined ? [] : getCandidates(entry, service, tokensAhead);
 		const isLatencySensitive = isLatencySensitiveRoute(call.route, service, tracker.getPrefillRate(candidates.map(({upstream}) => upstream)));
-		const candidate = chooseUpstream(candidates, getPlacement(entry, isLatencySensitive), context.random);
+		const candidate = chooseUpstream(candidates, getRequestProfile(entry, isLatencySensitive), context.random);
 		if (table === undefined || candidate === undefined) {
 			return {kind: 'impossible'};
 		}
@@ -102,7 +102,7 @@
 		return isAdmissible ? {kind: 'placed', candidate, isLatencySensitive} : {kind: 'waits', candidate};
 	};
 
-	const assign = ({call, enqueuedAt, resolve}: QueuedRequest, candidate: Candidate, isLatencySensitive: boolean): void => {
+	const assign = ({call, enqueuedAt, resolve}: QueueEntry, candidate: Candidate, isLatencySensitive: boolean): void => {
 		metrics.record('waiting_duration', clock.monotonic() - enqueuedAt, {route: call.route.name});
 		const load = startRequestLoad(context.reportExchange, getUpstreamKey(candidate.upstream), candidate.uncachedTokens, isLatencySensitive ? 1 : 0);
 		resolve({candidate, load});
@@ -114,7 +114,7 @@
 	};
 
 	/** Dispatches the entry or drops an ended one; returns whether it stays queued. */
-	const processEntry = (entry: QueuedRequest, queuedTokens: QueuedTokens): boolean => {
+	const processEntry = (entry: QueueEntry, queuedTokens: QueuedTokens): boolean => {
 		if (entry.progress.hasTimedOut || entry.progress.isCallerGone) {
 			entry.resolve(undefined);
 			return false;
@@ -180,14 +180,14 @@
 		nextDispatch = {at, cancel: clock.after(at - now, dispatch)};
 	};
 
-	const removeEntry = (entry: QueuedRequest): void => {
+	const removeEntry = (entry: QueueEntry): void => {
 		entries = entries.filter(other => other !== entry);
 		entry.resolve(undefined);
 		scheduleDispatch(0);
 	};
 
 	/** Whether no queued call goes before the entry. */
-	const isFirstInOrder = (entry: QueuedRequest): boolean => {
+	const isFirstInOrder = (entry: QueueEntry): boolean => {
 		const order = getQueueOrder(entry);
 		return entries.every(other => compareQueued(order, getQueueOrder(other)) < 0);
 	};
--- a/packages/forwarder/src/send.test.ts
+++ b/packages/forwarder/src/send.test.ts
@@ -12,9 +12,9 @@
 const protocol: Pick<Protocol, 'readAnswerHead'> = {
 	readAnswerHead: (status, headers) => ({
 		status,
-		attemptId: headers[headers.indexOf('Attempt') + 1],
+		callerRequestId: headers[headers.indexOf('Attempt') + 1],
 		isNotExecuted: status === 421,
-		isSigned: true,
+		hasUpstreamMark: true,
 		isEventStream: false,
 		forwarded: headers,
 	}),
@@ -45,7 +45,7 @@
 		upstream: {
 			id: 'u', service: 's', address: `127.0.0.1:${port}`, zone: 'z', isLeaving: false, slots: 1, startedAt: 1,
 		},
-		method: 'GET', target: '/', headers: ['Host', 'h'], body: new Uint8Array(), attemptId: attempt, headTimeout: 5000,
+		method: 'GET', target: '/', headers: ['Host', 'h'], body: new Uint8Array(), callerRequestId: attempt, headTimeout: 5000,
 	}, {agent, protocol: protocol as Protocol, clock: createSystemClock()});
 	return outcome;
 };
@@ -133,7 +133,7 @@
 		upstream: {
 			id: 'u', service: 's', address: `127.0.0.1:${port}`, zone: 'z', isLeaving: false, slots: 1, startedAt: 1,
 		},
-		method: 'GET', target: '/', headers: ['Host', 'h'], body: new Uint8Array(), attemptId: 'a1', headTimeout: 5000,
+		method: 'GET', target: '/', headers: ['Host', 'h'], body: new Uint8Array(), callerRequestId: 'a1', headTimeout: 5000,
 	}, {agent: new UpstreamAgent(), protocol: protocol as Protocol, clock: createSystemClock()});
 	expect(await outcome).toMatchObject({kind: 'unreachable'});
 });
--- a/packages/forwarder/src/send.ts
+++ b/packages/forwarder/src/send.ts
@@ -14,8 +14,8 @@
 	target: string;
 	headers: RawHeaders;
 	body: Uint8Array;
-	/** Id of the attempt; an answer that names another one is rejected. */
-	attemptId: string | undefined;
+	/** Caller's id of the request; an answer that names another one is not accepted. */
+	callerRequestId: string | undefined;
 	/** Longest wait for the head of the answer. */
 	headTimeout: Milliseconds;
 };
@@ -28,11 +28,11 @@
 		| {kind: 'rejected'; status: number}
 	/** The connection failed or the answer is invalid; the request may have executed. */
 		| {kind: 'broken'; reason: string}
-	/** The head of the answer didn't arrive in time; the request may have executed. */
+	/** The head of the answer didn't arrive within `headTimeout`; the request may have executed. Unrelated to the silence of a stream that has begun. */
 		| {kind: 'silent'}
 		| {kind: 'answered'; head: AnswerHead; answer: Incoming};
 
-/** A request in flight at an upstream. */
+/** A request that was sent to an upstream, as seen by its sender: its outcome and a way to abort it. */
 export type InFlightRequest = {
 	outcome: Promise<SendOutcome>;
 	/** Aborts the request and closes its connection, so that the upstream stops working on it. */
@@ -58,10 +58,10 @@
 	message.resume();
 };
 
-/** Classifies an answer by its head; closes the connection of an answer to another attempt and of an unsigned success. */
-const classifyAnswer = (answer: Incoming, head: AnswerHead, attemptId: string | undefined): SendOutcome => {
+/** Classifies an answer by its head; closes the connection of an answer to another request and of a success without the mark of an upstream. */
+const classifyAnswer = (answer: Incoming, head: AnswerHead, callerRequestId: string | undefined): SendOutcome => {
 	const {message} = answer;
-	const isMismatched = head.attemptId !== undefined && attemptId !== undefined && head.attemptId !== attemptId;
+	const isMismatched = head.callerRequestId !== undefined && callerRequestId !== undefined && head.callerRequestId !== callerRequestId;
 	if (isMismatched) {
 		message.destroy();
 		return {kind: 'broken', reason: 'answer-of-another-request'};
@@ -73,7 +73,7 @@
 	}
 
 	const isSuccess = head.status >= 200 && head.status < 300;
-	if (isSuccess && !head.isSigned) {
+	if (isSuccess && !head.hasUpstreamMark) {
 		message.destroy();
 		return {kind: 'broken', reason: 'answer-unsigned'};
 	}
@@ -83,18 +83,18 @@
 
 /** Sends a request to an upstream; it counts as unreachable until the connection is established. */
 export const send = (upstreamRequest: UpstreamRequest, {agent, protocol, clock}: SendOptions): InFlightRequest => {
-	const exchange = openRequest(upstreamRequest, agent);
+	const clientRequest = openRequest(upstreamRequest, agent);
 	let isConnected = false;
 	let hasFailed = false;
 	const outcome = new Promise<SendOutcome>(resolve => {
 		const cancelConnectTimer = clock.after(connectTimeout, () => {
 			if (!isConnected) {
-				exchange.destroy(new Error('connect-timeout'));
+				clientRequest.destroy(new Error('connect-timeout'));
 			}
 		});
 		const cancelHeadTimer = clock.after(upstreamRequest.headTimeout, () => {
 			resolve({kind: 'silent'});
-			exchange.destroy();
+			clientRequest.destroy();
 		});
 		const finish = (result: SendOutcome): void => {
 			cancelConnectTimer();
@@ -102,7 +102,7 @@
 			resolve(result);
 		};
 
-		exchange.once('socket', socket => {
+		clientRequest.once('socket', socket => {
 			if (socket.connecting) {
 				socket.once('connect', () => {
 					isConnected = true;
@@ -111,25 +111,25 @@
 				isConnected = true;
 			}
 		});
-		exchange.once('response', message => {
+		clientRequest.once('response', message => {
 			agent.recordAnswer(message.socket, message);
 			const {socket} = message;
 			const answer = {message, hasFailed: () => hasFailed || agent.wasReset(socket)};
-			finish(classifyAnswer(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), upstreamRequest.attemptId));
+			finish(classifyAnswer(answer, protocol.readAnswerHead(message.statusCode ?? 0, message.rawHeaders), upstreamRequest.callerRequestId));
 		});
-		exchange.on('error', error => {
+		clientRequest.on('error', error => {
 			hasFailed = true;
 			finish({kind: isConnected ? 'broken' : 'unreachable', reason: getErrorReason(error)});
 		});
-		exchange.once('close', () => {
+		clientRequest.once('close', () => {
 			finish({kind: isConnected ? 'broken' : 'unreachable', reason: 'closed'});
 		});
 	});
-	exchange.end(upstreamRequest.body);
+	clientRequest.end(upstreamRequest.body);
 	return {
 		outcome,
 		cancel() {
-			exchange.destroy();
+			clientRequest.destroy();
 		},
 	};
 };
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -3,7 +3,7 @@
 } from 'node:http';
 import type {Socket} from 'node:net';
 import {
-	pickDestination, findCaller, findRoute, type CallerLimits, type CustomerKeys, type Route, type RouteTable,
+	pickDestination, findCaller, findRoute, type RequestLimits, type ConfiguredCustomer, type Route, type RouteTable,
 } from '@gentianlift/routing';
 import {errorTable, type ErrorKind} from '@gentianlift/errors';
 import type {Milliseconds} from '@gentianlift/types';
@@ -17,7 +17,7 @@
 /** HTTP server for callers. */
 export type CallerServer = {
 	server: Server;
-	/** Returns the number of requests without a final answer. */
+	/** Returns the number of requests that are being handled, including attempts that go on after the caller disconnected. */
 	countOpenRequests: () => number;
 };
 
@@ -31,7 +31,7 @@
 
 /** Route and service of an admitted request, or the error of a refused one. */
 type Admission
-	= | {kind: 'admitted'; table: RouteTable; route: Route; service: string; customer: CustomerKeys | undefined}
+	= | {kind: 'admitted'; table: RouteTable; route: Route; service: string; customer: ConfiguredCustomer | undefined}
 		| {kind: 'refused'; error: Extract<ErrorKind, 'not-configured' | 'host-overloaded' | 'host-stopping' | 'unknown-path' | 'wrong-key' | 'missing-key'>};
 
 /** Size of headers above which Node rejects a request before the configured limit applies. */
@@ -145,7 +145,7 @@
 	const refuse = (request: IncomingMessage, response: ServerResponse, head: CallerHead, errorAnswer: ErrorAnswer): void => {
 		metrics.count('refusals_total', {reason: errorAnswer.kind});
 		logger.info('call-refused', {
-			request: head.attemptId, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
+			request: head.callerRequestId, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
 			age: Math.round(view.getSilence(clock.monotonic())),
 		});
 		writeErrorAnswer({
@@ -154,7 +154,7 @@
 	};
 
 	/** Returns the error of a request that isn't admitted or exceeds a limit, else undefined. */
-	const getRefusal = (body: Body, admission: Admission, headers: readonly string[], limits: CallerLimits | undefined): ErrorAnswer | undefined => {
+	const getRefusal = (body: Body, admission: Admission, headers: readonly string[], limits: RequestLimits | undefined): ErrorAnswer | undefined => {
 		if (body.kind === 'too-large') {
 			return {kind: 'body-too-large'};
 		}
@@ -171,7 +171,7 @@
 		return {kind: admission.error, ...(retryAfter !== undefined && {retryAfter})};
 	};
 
-	const applyLimits = (server: Server, limits: CallerLimits): void => {
+	const applyLimits = (server: Server, limits: RequestLimits): void => {
 		server.headersTimeout = limits.headerTimeout;
 		server.keepAliveTimeout = limits.idleTimeout + keepAliveMargin;
 	};
@@ -185,7 +185,7 @@
 		const admission = await admitWithRefresh(head, target);
 		const body = await pendingBody;
 		if (body.kind === 'broken') {
-			logger.info('call-broken', {request: head.attemptId, reason: body.reason});
+			logger.info('call-broken', {request: head.callerRequestId, reason: body.reason});
 			response.destroy();
 			return;
 		}
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -169,7 +169,8 @@
 
 			shutdown.since = clock.monotonic();
 			await stopHost({
-				clock, logger, gracePeriod: shutdown.gracePeriod, addressTtl: addressListTtl * staleUseFactor, countOpenRequests: callers.countOpenRequests, announce, release: fleet.registration.end,
+				clock, logger, gracePeriod: shutdown.gracePeriod, maxAddressUse: addressListTtl * staleUseFactor,
+				countOpenRequests: callers.countOpenRequests, announce, release: fleet.registration.end,
 			});
 		},
 	};
--- a/packages/forwarder/src/stop-host.test.ts
+++ b/packages/forwarder/src/stop-host.test.ts
@@ -10,7 +10,7 @@
 	const state = {open: 1, isStopped: false, calls: [] as string[]};
 	const stopped = (async () => {
 		await stopHost({
-			clock, logger: createSilentLogger(), gracePeriod, addressTtl: 3000, countOpenRequests: () => state.open,
+			clock, logger: createSilentLogger(), gracePeriod, maxAddressUse: 3000, countOpenRequests: () => state.open,
 			async announce() {
 				state.calls.push('announce');
 			},
--- a/packages/forwarder/src/stop-host.ts
+++ b/packages/forwarder/src/stop-host.ts
@@ -9,8 +9,8 @@
 	/** Time from the signal to stop until the process is killed. */
 	gracePeriod: Milliseconds;
 	/** Longest time for which callers use an address after they were given it. */
-	addressTtl: Milliseconds;
-	/** Returns the number of requests without a final answer. */
+	maxAddressUse: Milliseconds;
+	/** Returns the number of requests that are being handled, including attempts that go on after the caller disconnected. */
 	countOpenRequests: () => number;
 	/** Notifies the other hosts and the key-value service. */
 	announce: () => Promise<void>;
@@ -18,7 +18,7 @@
 	release: () => Promise<void>;
 };
 
-/** Part of the grace period that is reserved for the release. */
+/** Part of the grace period that is reserved for the release. Also the longest wait for the announcement, and after that for the release. */
 const releaseMargin: Milliseconds = 300;
 /** Interval at which the number of open requests is polled. */
 const checkInterval: Milliseconds = 50;
@@ -35,7 +35,7 @@
 
 /** Serves until callers no longer use the address and all requests are answered, or the grace period is almost over; then releases. */
 export const stopHost = async ({
-	clock, logger, gracePeriod, addressTtl, countOpenRequests, announce, release,
+	clock, logger, gracePeriod, maxAddressUse: addressTtl, countOpenRequests, announce, release,
 }: StopOptions): Promise<void> => {
 	const startedAt = clock.monotonic();
 	const getElapsed = (): Milliseconds => clock.monotonic() - startedAt;
--- a/packages/forwarder/src/testing.ts
+++ b/packages/forwarder/src/testing.ts
@@ -45,7 +45,7 @@
 		const timeout = getValue(headers, 'timeout');
 		const lastEvent = getValue(headers, 'last-event');
 		return {
-			attemptId: getValue(headers, 'attempt'),
+			callerRequestId: getValue(headers, 'attempt'),
 			hostname: 'a.example',
 			key: getValue(headers, 'key'),
 			clientTimeout: timeout === undefined ? undefined : Number(timeout),
@@ -55,11 +55,11 @@
 			forwarded: [],
 		};
 	},
-	writeUpstreamHead: ({caller, upstream, remainingTime, resumeAfter, bodyLength}) => [
+	buildUpstreamHeaders: ({caller, upstream, remainingTime, resumeAfter, bodyLength}) => [
 		'Host',
 		'a.example',
 		'Attempt',
-		caller.attemptId ?? '',
+		caller.callerRequestId ?? '',
 		'Instance',
 		upstream.id,
 		'Timeout',
@@ -70,13 +70,13 @@
 	],
 	readAnswerHead: (status, headers) => ({
 		status,
-		attemptId: getValue(headers, 'attempt'),
+		callerRequestId: getValue(headers, 'attempt'),
 		isNotExecuted: getValue(headers, 'not-run') !== undefined,
-		isSigned: getValue(headers, 'signed') !== undefined,
+		hasUpstreamMark: getValue(headers, 'signed') !== undefined,
 		isEventStream: getValue(headers, 'content-type') === 'text/event-stream',
 		forwarded: headers.filter((_, index) => !['connection', 'keep-alive', 'transfer-encoding'].includes((headers[index - (index % 2)] ?? '').toLowerCase())),
 	}),
-	writeErrorHead: () => [],
+	buildErrorHeaders: () => [],
 };
 
 const listenOnAnyPort = async (server: Server): Promise<number> => {
--- a/packages/forwarder/src/upstream-agent.ts
+++ b/packages/forwarder/src/upstream-agent.ts
@@ -8,7 +8,7 @@
 /** Idle timeouts of connections in milliseconds; the upstream may announce a shorter one. */
 export const idleTimeouts = {
 	normal: 8000,
-	/** For requests that can't be retried: an upstream may have dropped a connection that was idle for longer. */
+	/** For requests of non-idempotent routes, which can't be retried once they may have executed: an upstream may have dropped a connection that was idle for longer. */
 	short: 150,
 } as const;
 /** Time before the upstream's own idle timeout at which a connection is closed, so that no request is sent while the upstream closes it. */
--- a/packages/forwarder/src/upstream-tracker.ts
+++ b/packages/forwarder/src/upstream-tracker.ts
@@ -2,9 +2,10 @@
 import type {LoadTracker} from '@gentianlift/discovery';
 import type {Logger} from '@gentianlift/logger';
 import {
-	addResult, chooseReservedUpstreams, createFailureRate, createPromptCache, createPrefillRateEstimate, defaultPrefillRate,
+	addResult, chooseReservedUpstreams, createFailureCounts, createPromptCacheEstimate, createPrefillRateEstimate, defaultPrefillRate,
 	getBacklog, getFailureRatio, getPreferredUpstream, getUpstreamKey, updateReservation,
-	type Candidate, type FailureRate, type CachedTokens, type Prompt, type PromptCache, type PrefillRateEstimate, type RouteKind, type Reservation, type Service, type Upstream, type UpstreamKey,
+	type Candidate, type FailureCounts, type CachedTokens, type Prompt, type PromptCacheEstimate, type PrefillRateEstimate,
+	type RouteKind, type Reservation, type Service, type Upstream, type UpstreamKey,
 } from '@gentianlift/routing';
 import type {Milliseconds} from '@gentianlift/types';
 import {idleTimeouts, UpstreamAgent} from './upstream-agent.js';
@@ -15,10 +16,11 @@
 	getAgent: (upstream: Upstream, kind: RouteKind, connections: number) => UpstreamAgent;
 	/**
 	 * Returns the upstreams that may run a request, unreachable or silent ones only if there are no others.
-	 * `queuedTokens` are the prompt tokens that are queued at this host for each upstream.
+	 * `tokensAhead` are, for each upstream, the uncached prompt tokens of this host's calls that the current dispatch pass
+	 * has processed before this one and that wait for it.
 	 */
-	getCandidates: (upstreams: readonly Upstream[], service: Service, prompt: Prompt | undefined, queuedTokens?: ReadonlyMap<UpstreamKey, number>) => Candidate[];
-	/** Returns the prompt tokens queued at this host for an upstream, as last reported to the other hosts. */
+	getCandidates: (upstreams: readonly Upstream[], service: Service, prompt: Prompt | undefined, tokensAhead?: ReadonlyMap<UpstreamKey, number>) => Candidate[];
+	/** Returns the uncached prompt tokens queued at this host for an upstream, as last reported to the other hosts. */
 	getReportedQueuedTokens: (upstream: UpstreamKey) => number;
 	/** Returns the median prefill rate of the upstreams, in tokens per millisecond. */
 	getPrefillRate: (upstreams: readonly Upstream[]) => number;
@@ -28,8 +30,8 @@
 	recordPrefill: (upstream: UpstreamKey, prompt: Pick<Prompt, 'model' | 'parts'>) => void;
 	/** Records that an upstream refuses connections or has crashed, and avoids it for a backoff period. */
 	recordUnreachable: (upstream: Upstream, reason: string) => void;
-	/** Records that a request was sent; the returned handle reports received bytes and the end of the exchange. */
-	startExchange: (upstream: Upstream) => Exchange;
+	/** Records that a request was sent; the returned handle reports its activity. */
+	trackRequest: (upstream: Upstream) => RequestActivity;
 	/** Returns the time since the upstream last sent a byte while requests of this host are in flight there; 0 if none are. */
 	getSilence: (upstream: Upstream) => Milliseconds;
 	/** Records the result of a request, and its duration if durations of its kind are comparable. */
@@ -38,8 +40,8 @@
 	remove: (key: UpstreamKey) => void;
 };
 
-/** A request of this host that is in flight at an upstream. */
-export type Exchange = {recordBytes: () => void; end: () => void};
+/** Tells the tracker when bytes of an upstream's answer to a request arrive and when the request ends. */
+export type RequestActivity = {recordBytes: () => void; end: () => void};
 
 /** Dependencies of a tracker. */
 export type UpstreamTrackerOptions = {clock: Clock; logger: Logger; loads: LoadTracker};
@@ -47,9 +49,9 @@
 type UpstreamState = {
 	agent: UpstreamAgent;
 	nonIdempotentAgent: UpstreamAgent;
-	cache: PromptCache | undefined;
+	cache: PromptCacheEstimate | undefined;
 	prefillRate: PrefillRateEstimate;
-	failures: FailureRate;
+	failures: FailureCounts;
 	/** Exponential moving average of the durations of answers. */
 	meanDuration: Milliseconds | undefined;
 	/** Time on the monotonic clock before which the upstream gets no requests. */
@@ -57,13 +59,13 @@
 	/** Connection failures in a row. */
 	connectFailures: number;
 	/** Number of requests of this host in flight. */
-	openExchanges: number;
+	openRequests: number;
 	/** When the upstream last sent a byte, or when the first request in flight was sent to the idle upstream. */
 	lastByteAt: Milliseconds;
 };
 
-/** Silence after which an upstream gets no new requests while others are available. */
-const silenceTimeout: Milliseconds = 700;
+/** Silence after which an upstream gets no new requests while others are available; requests that it runs already stay there. */
+const avoidanceSilence: Milliseconds = 700;
 
 /** First backoff period of an unreachable upstream; doubles with each failure in a row. */
 const minBackoff: Milliseconds = 400;
@@ -78,15 +80,15 @@
 const noCachedTokens: CachedTokens = {all: 0, shared: 0};
 
 /** Probability that the preferred upstream of a prompt has its shared prefix cached although this host has no record of it. */
-const affinityHitProbability = 0.5;
+const preferredHitProbability = 0.5;
 
 /** Expected number of shared tokens that the preferred upstream of a prompt has cached beyond the maximum that any upstream is known to have. */
-type AffinityEstimate = {preferred: UpstreamKey | undefined; tokens: number};
+type PreferredCacheEstimate = {preferred: UpstreamKey | undefined; tokens: number};
 
 /** Estimates what the preferred upstream has cached, where `maxSharedTokens` is the maximum that any upstream is known to have. */
-const estimateAffinity = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): AffinityEstimate => {
+const estimatePreferredCache = (prompt: Prompt, maxSharedTokens: number, upstreams: readonly Upstream[]): PreferredCacheEstimate => {
 	const shared = prompt.parts.slice(0, -1).reduce((sum, {tokens}) => sum + tokens, 0);
-	return {preferred: getPreferredUpstream(prompt, upstreams), tokens: affinityHitProbability * (shared - maxSharedTokens)};
+	return {preferred: getPreferredUpstream(prompt, upstreams), tokens: preferredHitProbability * (shared - maxSharedTokens)};
 };
 
 const getMedian = (values: readonly number[]): number | undefined => {
@@ -119,11 +121,11 @@
 			nonIdempotentAgent: new UpstreamAgent({idleTimeout: idleTimeouts.short}),
 			cache: undefined,
 			prefillRate: createPrefillRateEstimate(),
-			failures: createFailureRate(clock.monotonic()),
+			failures: createFailureCounts(clock.monotonic()),
 			meanDuration: undefined,
 			avoidedUntil: 0,
 			connectFailures: 0,
-			openExchanges: 0,
+			openRequests: 0,
 			lastByteAt: 0,
 		};
 		states.set(key, state);
@@ -131,17 +133,17 @@
 	};
 
 	const getStateSilence = (state: UpstreamState | undefined, now: Milliseconds): Milliseconds =>
-		state === undefined || state.openExchanges === 0 ? 0 : now - state.lastByteAt;
+		state === undefined || state.openRequests === 0 ? 0 : now - state.lastByteAt;
 
 	/** Whether an upstream is neither in its backoff period nor silent. */
 	const isReachable = (upstream: Upstream, now: Milliseconds): boolean => {
 		const state = states.get(getUpstreamKey(upstream));
-		return (state?.avoidedUntil ?? 0) <= now && getStateSilence(state, now) <= silenceTimeout;
+		return (state?.avoidedUntil ?? 0) <= now && getStateSilence(state, now) <= avoidanceSilence;
 	};
 
-	const getCache = (key: UpstreamKey, capacity = defaultCacheTokens): PromptCache => {
+	const getCache = (key: UpstreamKey, capacity = defaultCacheTokens): PromptCacheEstimate => {
 		const state = getState(key);
-		state.cache ??= createPromptCache(capacity);
+		state.cache ??= createPromptCacheEstimate(capacity);
 		return state.cache;
 	};
 
@@ -168,7 +170,7 @@
 			agent.maxSockets = connections;
 			return agent;
 		},
-		getCandidates(upstreams, service, prompt, queuedTokens) {
+		getCandidates(upstreams, service, prompt, tokensAhead) {
 			const now = clock.monotonic();
 			const reachable = upstreams.filter(upstream => isReachable(upstream, now));
 			const usable = reachable.length === 0 ? upstreams : reachable;
@@ -177,8 +179,8 @@
 			const cachedTokens = usableStates.map(({key}) => prompt === undefined ? noCachedTokens : getCache(key, service.engine?.cacheTokens).getCachedTokens(prompt));
 			const maxSharedTokens = Math.max(...cachedTokens.map(({shared}) => shared));
 			const reserved = getReserved(service.name, upstreams);
-			const affinityCandidates = usable.filter(upstream => !reserved.has(getUpstreamKey(upstream)));
-			const affinity = prompt === undefined ? undefined : estimateAffinity(prompt, maxSharedTokens, affinityCandidates);
+			const unreservedUpstreams = usable.filter(upstream => !reserved.has(getUpstreamKey(upstream)));
+			const preferredCache = prompt === undefined ? undefined : estimatePreferredCache(prompt, maxSharedTokens, unreservedUpstreams);
 			return usableStates.map(({upstream, key, state}, index) => {
 				const load = loads.getTotalLoad(key);
 				const {all, shared} = cachedTokens[index] ?? noCachedTokens;
@@ -186,9 +188,9 @@
 					upstream,
 					load,
 					backlog: getBacklog(load, state.prefillRate.get(), now),
-					queueDelay: (load.queuedTokens - loads.getOwnQueuedTokens(key) + (queuedTokens?.get(key) ?? 0)) / state.prefillRate.get(),
+					queueDelay: (load.queuedTokens - loads.getOwnQueuedTokens(key) + (tokensAhead?.get(key) ?? 0)) / state.prefillRate.get(),
 					uncachedTokens: Math.max(0, (prompt?.inputTokens ?? 0) - all),
-					rereadTokens: maxSharedTokens - shared + (affinity === undefined || affinity.preferred === key ? 0 : affinity.tokens),
+					rereadTokens: maxSharedTokens - shared + (preferredCache === undefined || preferredCache.preferred === key ? 0 : preferredCache.tokens),
 					prefillRate: state.prefillRate.get(),
 					isReserved: reserved.has(key),
 					failureRatio: getFailureRatio(state.failures, now),
@@ -206,17 +208,17 @@
 			state.avoidedUntil = clock.monotonic() + backoff;
 			logger.info('upstream-avoided', {upstream: getUpstreamKey(upstream), reason, for: backoff});
 		},
-		startExchange(upstream) {
+		trackRequest(upstream) {
 			const state = getState(getUpstreamKey(upstream));
-			state.lastByteAt = state.openExchanges === 0 ? clock.monotonic() : state.lastByteAt;
-			state.openExchanges += 1;
+			state.lastByteAt = state.openRequests === 0 ? clock.monotonic() : state.lastByteAt;
+			state.openRequests += 1;
 			let hasEnded = false;
 			return {
 				recordBytes() {
 					state.lastByteAt = clock.monotonic();
 				},
 				end() {
-					state.openExchanges -= hasEnded ? 0 : 1;
+					state.openRequests -= hasEnded ? 0 : 1;
 					hasEnded = true;
 				},
 			};
--- a/packages/router/src/host/account-reader.ts
+++ b/packages/router/src/host/account-reader.ts
@@ -44,6 +44,6 @@
 		}
 	}
 
-	const claimResult = await claims.readClaimOfRequest(id);
+	const claimResult = await claims.readClaimByRequestId(id);
 	return claimResult.kind === 'found' ? getClaimAccount(claimResult.claim, fleet.hasEnded) : createUnknownAccount(id, customer, now());
 };
--- a/packages/routing/src/choose-upstream.test.ts
+++ b/packages/routing/src/choose-upstream.test.ts
@@ -1,24 +1,24 @@
 import {createRandom} from '@gentianlift/clock';
 import {expect, test} from 'vitest';
 import {getBacklog} from './backlog.js';
-import {chooseUpstream, type Candidate, type Placement} from './choose-upstream.js';
-import {createPromptCache} from './prompt-cache.js';
+import {chooseUpstream, type Candidate, type RequestProfile} from './choose-upstream.js';
+import {createPromptCacheEstimate} from './prompt-cache.js';
 import {getPreferredUpstream} from './preferred-upstream.js';
 import {createPrefillRateEstimate, defaultPrefillRate} from './prefill-rate.js';
-import {chooseReservedUpstreams, isLatencySensitiveRoute, updateReservation} from './stream-isolation.js';
+import {chooseReservedUpstreams, isLatencySensitiveRoute, updateReservation} from './reserved-upstreams.js';
 import {
 	buildCandidate, buildLoad, buildRoute, buildUpstream,
 } from './testing.js';
 import {getUpstreamKey} from './upstream.js';
 import {compareQueued, getBacklogLimit} from './queue-order.js';
 
-const longPrompt: Placement = {
+const longPrompt: RequestProfile = {
 	zone: 'a', hasPrompt: true, isLatencySensitive: false, slack: 1500,
 };
-const latencySensitive: Placement = {...longPrompt, isLatencySensitive: true, slack: 300};
+const latencySensitive: RequestProfile = {...longPrompt, isLatencySensitive: true, slack: 300};
 
-const choose = (candidates: Candidate[], placement: Placement): string | undefined =>
-	chooseUpstream(candidates, placement, createRandom(1))?.upstream.id;
+const choose = (candidates: Candidate[], profile: RequestProfile): string | undefined =>
+	chooseUpstream(candidates, profile, createRandom(1))?.upstream.id;
 
 const createCandidate = (id: string, changes: Partial<Candidate> = {}): Candidate => buildCandidate({upstream: buildUpstream({id}), ...changes});
 
@@ -104,10 +104,10 @@
 
 test('a route is latency-sensitive if long prefills delay its events beyond their target', () => {
 	const service = {name: 's', maxConnections: 1, engine: {slots: 1, cacheTokens: 1, tokensPerEvent: 4}};
-	expect(isLatencySensitiveRoute(buildRoute({itlTarget: 200}), service, 46)).toBe(true);
-	expect(isLatencySensitiveRoute(buildRoute({itlTarget: 300}), service, 46)).toBe(false);
+	expect(isLatencySensitiveRoute(buildRoute({eventIntervalTarget: 200}), service, 46)).toBe(true);
+	expect(isLatencySensitiveRoute(buildRoute({eventIntervalTarget: 300}), service, 46)).toBe(false);
 	expect(isLatencySensitiveRoute(buildRoute(), service, 46)).toBe(false);
-	expect(isLatencySensitiveRoute(buildRoute({itlTarget: 1}), {name: 's', maxConnections: 1}, 46)).toBe(false);
+	expect(isLatencySensitiveRoute(buildRoute({eventIntervalTarget: 1}), {name: 's', maxConnections: 1}, 46)).toBe(false);
 });
 
 test('upstreams are reserved at once and released slowly, the same ones on all hosts', () => {
@@ -126,7 +126,7 @@
 };
 
 test('a part counts as cached only if all parts before it are cached', () => {
-	const cache = createPromptCache(10_000);
+	const cache = createPromptCacheEstimate(10_000);
 	cache.add({model: 'm', parts: [{id: 'own', tokens: 100}]});
 	expect(cache.getCachedTokens(prompt)).toEqual({all: 0, shared: 0});
 	cache.add({model: 'm', parts: [{id: 'doc', tokens: 1000}]});
@@ -135,7 +135,7 @@
 });
 
 test('the least recently used parts are evicted first', () => {
-	const cache = createPromptCache(2500);
+	const cache = createPromptCacheEstimate(2500);
 	cache.add({model: 'm', parts: [{id: 'a', tokens: 1000}]});
 	cache.add({model: 'm', parts: [{id: 'b', tokens: 1000}]});
 	cache.add({model: 'm', parts: [{id: 'c', tokens: 1000}]});
--- a/packages/routing/src/choose-upstream.ts
+++ b/packages/routing/src/choose-upstream.ts
@@ -6,11 +6,11 @@
 export type UpstreamLoad = {
 	/** Number of requests in flight. */
 	running: number;
-	/** Prompt tokens to prefill of requests in flight that have not returned their first token. */
+	/** Uncached prompt tokens of requests in flight that have not returned their first token; "unread" means still to be prefilled. */
 	unreadTokens: number;
-	/** Number of latency-sensitive streams among the requests in flight. */
+	/** Number of latency-sensitive streams among the requests in flight: those that miss their target for the interval between events if a long prefill runs beside them. */
 	latencySensitiveStreams: number;
-	/** Prompt tokens of requests that are queued at the hosts for this upstream. */
+	/** Uncached prompt tokens of requests that are queued at the hosts for this upstream. */
 	queuedTokens: number;
 	/** When the upstream was last observed to start or finish a prefill. */
 	progressAt: Milliseconds;
@@ -26,11 +26,11 @@
 	queueDelay: Milliseconds;
 	/** Prompt tokens that it has to prefill, as it has not cached them. */
 	uncachedTokens: number;
-	/** Of these, tokens of shared parts that another candidate has cached. */
+	/** Tokens of shared parts that another candidate has cached and this one has not; plus, unless it is the preferred upstream, an estimate of the further ones that the preferred upstream may have cached. */
 	rereadTokens: number;
 	/** Prompt tokens that it prefills per millisecond. */
 	prefillRate: number;
-	/** Whether it is reserved for latency-sensitive streams. */
+	/** Whether it is reserved for latency-sensitive streams, so that long prefills avoid it. */
 	isReserved: boolean;
 	/** Recent fraction of failures among its results, from 0 to 1. */
 	failureRatio: number;
@@ -39,7 +39,7 @@
 };
 
 /** Properties of the request that determine the cost of a candidate. */
-export type Placement = {
+export type RequestProfile = {
 	/** Availability zone of the host that forwards the request. */
 	zone: Zone;
 	/** Whether the request lists the parts of its prompt. */
@@ -70,12 +70,12 @@
 export const maxHarmlessPrefillTokens = 5500;
 
 /** Cost of a request to another availability zone for a service without prompts, in requests in flight. */
-const crossZoneSlotCost = 0.25;
+const crossZoneRequestCost = 0.25;
 /** Cost of an upstream whose failure ratio is 1 for a service without prompts, in requests in flight. */
-const failureSlotCost = 20;
+const failureRequestCost = 20;
 
 /** Returns the cost of interference between a long prefill and latency-sensitive streams, whichever of them the request is. */
-const getInterferenceCost = ({isReserved, load, backlog, uncachedTokens, prefillRate}: Candidate, {isLatencySensitive}: Placement): Milliseconds => {
+const getInterferenceCost = ({isReserved, load, backlog, uncachedTokens, prefillRate}: Candidate, {isLatencySensitive}: RequestProfile): Milliseconds => {
 	const isInterfering = (backlog * prefillRate) + uncachedTokens > maxHarmlessPrefillTokens;
 	const interferenceCost = isInterfering ? load.latencySensitiveStreams * interferenceCostPerStream : 0;
 	if (isLatencySensitive) {
@@ -85,36 +85,36 @@
 	return isReserved && isInterfering ? reservedUpstreamPenalty : Math.min(interferenceCost, reservedUpstreamPenalty);
 };
 
-const getGenerationCost = (candidate: Candidate, placement: Placement): number => {
+const getCostWithPrompt = (candidate: Candidate, profile: RequestProfile): number => {
 	const {
 		upstream, load, backlog, queueDelay, uncachedTokens, rereadTokens, prefillRate, failureRatio,
 	} = candidate;
 	const timeToFirstToken = backlog + queueDelay + (uncachedTokens / prefillRate);
 	const redundantPrefill = redundantPrefillFactor * rereadTokens / prefillRate;
-	const latenessPenalty = timeToFirstToken > placement.slack ? latenessCost : 0;
-	const zonePenalty = upstream.zone === placement.zone ? 0 : crossZoneCost;
+	const latenessPenalty = timeToFirstToken > profile.slack ? latenessCost : 0;
+	const zonePenalty = upstream.zone === profile.zone ? 0 : crossZoneCost;
 	return timeToFirstToken + redundantPrefill + latenessPenalty + zonePenalty
-		+ (load.running * runningRequestCost) + (failureRatio * failureCost) + getInterferenceCost(candidate, placement);
+		+ (load.running * runningRequestCost) + (failureRatio * failureCost) + getInterferenceCost(candidate, profile);
 };
 
-const getCallCost = ({upstream, load, failureRatio, relativeLatency}: Candidate, {zone}: Placement): number => {
-	const zonePenalty = upstream.zone === zone ? 0 : crossZoneSlotCost;
-	return ((load.running + 1) * relativeLatency) + zonePenalty + (failureRatio * failureSlotCost);
+const getCostWithoutPrompt = ({upstream, load, failureRatio, relativeLatency}: Candidate, {zone}: RequestProfile): number => {
+	const zonePenalty = upstream.zone === zone ? 0 : crossZoneRequestCost;
+	return ((load.running + 1) * relativeLatency) + zonePenalty + (failureRatio * failureRequestCost);
 };
 
 /**
  * Returns the cost of sending the request to the candidate: in milliseconds of time to first token for requests with a
  * prompt, else in requests in flight. Only costs of one service's candidates are comparable.
  */
-export const getCost = (candidate: Candidate, placement: Placement): number =>
-	placement.hasPrompt ? getGenerationCost(candidate, placement) : getCallCost(candidate, placement);
+export const getCost = (candidate: Candidate, profile: RequestProfile): number =>
+	profile.hasPrompt ? getCostWithPrompt(candidate, profile) : getCostWithoutPrompt(candidate, profile);
 
 /** Chooses the candidate with the lowest cost; a small random addition breaks ties. */
-export const chooseUpstream = (candidates: readonly Candidate[], placement: Placement, random: Random): Candidate | undefined => {
+export const chooseUpstream = (candidates: readonly Candidate[], profile: RequestProfile, random: Random): Candidate | undefined => {
 	let best: Candidate | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	for (const candidate of candidates) {
-		const cost = getCost(candidate, placement) + (random.next() / 100);
+		const cost = getCost(candidate, profile) + (random.next() / 100);
 		if (cost < bestCost) {
 			best = candidate;
 			bestCost = cost;
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -18,14 +18,14 @@
 	isResumable: boolean;
 	/** Whether requests need no API key. */
 	isPublic: boolean;
-	/** Whether requests list the parts of their prompt, so that routing can make use of the upstreams' prompt caches. */
+	/** Whether requests list the parts of their prompt. */
 	hasPrompt: boolean;
 	/** Maximum time from a request's arrival to the end of its response. */
 	timeout: Milliseconds;
 	/** Target for the time from arrival to the response, or to the first event of a stream. */
 	latencyTarget: Milliseconds;
-	/** Target for the longest interval between two events of a stream. */
-	itlTarget?: Milliseconds;
+	/** Target for the longest interval between two events of a stream, each of which may carry several tokens. */
+	eventIntervalTarget?: Milliseconds;
 	/** Default priority of the requests; 0 is the highest. */
 	rank: Rank;
 	/** Maximum number of upstreams that may execute one request. */
@@ -43,7 +43,7 @@
 };
 
 /** Limits on the size of callers' requests and on the time they take to arrive. */
-export type CallerLimits = {
+export type RequestLimits = {
 	maxHeaderBytes: number;
 	maxBodyBytes: number;
 	headerTimeout: Milliseconds;
@@ -51,18 +51,18 @@
 };
 
 /** A customer with its API keys; its rank, if present, overrides that of the route. */
-export type CustomerKeys = {name: CustomerId; keys: string[]; rank?: Rank};
+export type ConfiguredCustomer = {name: CustomerId; keys: string[]; rank?: Rank};
 
 /** A version of the operators' configuration. Version numbers only increase. */
 export type RoutingConfiguration = {
 	version: number;
 	routes: Route[];
 	services: Service[];
-	limits: CallerLimits;
+	limits: RequestLimits;
 	/** Absent if requests need no API keys. */
-	customers?: CustomerKeys[];
+	customers?: ConfiguredCustomer[];
 };
 
-/** Returns whether a request of the route may execute more than once. */
-export const isRetryable = (route: Route): boolean =>
+/** Returns whether a request of the route may execute again after an upstream may have executed it. */
+export const mayExecuteAgain = (route: Route): boolean =>
 	route.kind === 'idempotent' || (route.kind === 'streaming' && route.isResumable);
--- a/packages/routing/src/crash-suspects.ts
+++ b/packages/routing/src/crash-suspects.ts
@@ -2,7 +2,7 @@
 import type {UpstreamKey} from './upstream.js';
 
 /** A request that was running on an upstream when the upstream crashed. All copies of a request have the same fingerprint. */
-export type Crash = {fingerprint: string; upstream: UpstreamKey};
+export type SuspectedCrash = {fingerprint: string; upstream: UpstreamKey};
 
 /** Number of crashed upstreams after which a request is blocked. */
 export const maxCrashes = 3;
@@ -17,7 +17,7 @@
 /** Registry of requests that may have crashed the upstreams that ran them. */
 export type CrashSuspects = {
 	/** Records a crash; returns false if it was recorded before. */
-	add: (crash: Crash, now: Milliseconds) => boolean;
+	add: (crash: SuspectedCrash, now: Milliseconds) => boolean;
 	/** Removes a request that has completed; returns false if it wasn't recorded. */
 	clear: (fingerprint: string) => boolean;
 	/** Whether the request crashed so many upstreams that it must not be sent to another one. */
--- /dev/null
+++ b/packages/routing/src/failure-counts.ts
@@ -0,0 +1,30 @@
+import type {Milliseconds} from '@gentianlift/types';
+
+/** Time after which the weight of a result has halved. */
+const halfLife: Milliseconds = 3000;
+
+/** Successes that are assumed in addition to the recorded results, so that a single failure doesn't dominate the ratio. */
+const assumedSuccesses = 4;
+
+/** Counts of an upstream's failures and results with exponential decay, as of `updatedAt`. */
+export type FailureCounts = {failures: number; results: number; updatedAt: Milliseconds};
+
+/** Creates counts without results. */
+export const createFailureCounts = (now: Milliseconds): FailureCounts => ({failures: 0, results: 0, updatedAt: now});
+
+const decay = (counts: FailureCounts, now: Milliseconds): FailureCounts => {
+	const decayFactor = 0.5 ** (Math.max(0, now - counts.updatedAt) / halfLife);
+	return {failures: counts.failures * decayFactor, results: counts.results * decayFactor, updatedAt: now};
+};
+
+/** Adds a result to the decayed counts. */
+export const addResult = (counts: FailureCounts, hasFailed: boolean, now: Milliseconds): FailureCounts => {
+	const decayed = decay(counts, now);
+	return {...decayed, failures: decayed.failures + (hasFailed ? 1 : 0), results: decayed.results + 1};
+};
+
+/** Returns the fraction of failures among the results and the assumed successes, from 0 to 1. */
+export const getFailureRatio = (counts: FailureCounts, now: Milliseconds): number => {
+	const {failures, results} = decay(counts, now);
+	return failures / (results + assumedSuccesses);
+};
--- a/packages/routing/src/prompt-cache.ts
+++ b/packages/routing/src/prompt-cache.ts
@@ -7,7 +7,7 @@
 export type CachedTokens = {all: number; shared: number};
 
 /** Model of an upstream's prompt cache, with eviction of the least recently used parts. */
-export type PromptCache = {
+export type PromptCacheEstimate = {
 	/** Adds the parts of a prompt that the upstream prefills. */
 	add: (prompt: Pick<Prompt, 'model' | 'parts'>) => void;
 	/** Returns how many tokens at the beginning of the prompt are cached, and how many of these belong to shared parts. */
@@ -35,7 +35,7 @@
 };
 
 /** Creates the model of an empty cache for `capacityTokens` tokens. */
-export const createPromptCache = (capacityTokens: number): PromptCache => {
+export const createPromptCacheEstimate = (capacityTokens: number): PromptCacheEstimate => {
 	const cachedParts = new Map<string, number>();
 	const maxTokens = capacityTokens * usableFraction;
 	let totalTokens = 0;
--- a/packages/routing/src/queue-order.ts
+++ b/packages/routing/src/queue-order.ts
@@ -2,7 +2,7 @@
 import type {Route} from './configuration.js';
 
 /** A request that is queued until an upstream can take it. */
-export type QueuedRequest = {
+export type QueuePosition = {
 	rank: Rank;
 	/** When the target for its first token is missed. */
 	dueAt: Milliseconds;
@@ -17,7 +17,7 @@
  * Compares queued requests: by rank, then those that can still meet their target before late ones, then by due time.
  * Late requests come last within their rank, as further waiting costs them no more.
  */
-export const compareQueued = (one: QueuedRequest, other: QueuedRequest): number => {
+export const compareQueued = (one: QueuePosition, other: QueuePosition): number => {
 	if (one.rank !== other.rank) {
 		return one.rank - other.rank;
 	}
--- a/packages/routing/src/stream-isolation.ts
+++ b/packages/routing/src/reserved-upstreams.ts
@@ -7,7 +7,7 @@
 const prefillTokensPerStep = 2048;
 /** Duration in milliseconds of an engine step without prefill. */
 const decodeStepDuration = 8;
-/** Fraction of the target for the inter-token latency that is reserved for network delay. */
+/** Fraction of the target for the interval between events that is reserved for network delay. */
 const networkMargin = 0.05;
 /** Number of latency-sensitive streams per reserved upstream. */
 const streamsPerReservedUpstream = 12;
@@ -16,19 +16,19 @@
 
 /**
  * Returns whether the prefill of a long prompt makes concurrent streams of the route exceed their target for the
- * inter-token latency: an event takes several engine steps, and each of them also prefills a chunk of the prompt.
+ * interval between events. The time to the first event plays no part. An event takes several engine steps, and each of them also prefills a chunk of the prompt.
  */
 export const isLatencySensitiveRoute = (route: Route, service: Service | undefined, prefillRate: number): boolean => {
-	if (route.itlTarget === undefined || service?.engine === undefined) {
+	if (route.eventIntervalTarget === undefined || service?.engine === undefined) {
 		return false;
 	}
 
-	const interTokenLatency = service.engine.tokensPerEvent * ((prefillTokensPerStep / prefillRate) + decodeStepDuration);
-	return interTokenLatency > route.itlTarget * (1 - networkMargin);
+	const eventInterval = service.engine.tokensPerEvent * ((prefillTokensPerStep / prefillRate) + decodeStepDuration);
+	return eventInterval > route.eventIntervalTarget * (1 - networkMargin);
 };
 
 /** Number of a service's upstreams that are reserved for latency-sensitive streams, and when that many were last needed. */
-export type Reservation = {count: number; neededAt: Milliseconds};
+export type Reservation = {count: number; changedAt: Milliseconds};
 
 /** Time for which an upstream that is no longer needed stays reserved; reserving it again forces other upstreams to repeat the prefill of its prompts. */
 const reservationHold: Milliseconds = 10_000;
@@ -37,10 +37,10 @@
 export const updateReservation = (previous: Reservation | undefined, latencySensitiveStreams: number, now: Milliseconds): Reservation => {
 	const needed = Math.ceil(latencySensitiveStreams / streamsPerReservedUpstream);
 	if (previous === undefined || needed >= previous.count) {
-		return {count: needed, neededAt: now};
+		return {count: needed, changedAt: now};
 	}
 
-	return now - previous.neededAt > reservationHold ? {count: previous.count - 1, neededAt: now} : previous;
+	return now - previous.changedAt > reservationHold ? {count: previous.count - 1, changedAt: now} : previous;
 };
 
 /** Hashes by upstream, cached because each decision sorts all upstreams of a service. */
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds} from '@gentianlift/types';
 
-/** Limit on the retries of all hosts together within a sliding window. */
+/** Limit on the retries of one service's requests, by all hosts together within a sliding window. Hosts use only `usableFraction` of it. */
 export type RetryLimit = {
 	/** Retries that each request adds to the budget. */
 	ratio: number;
--- a/packages/routing/src/retry.test.ts
+++ b/packages/routing/src/retry.test.ts
@@ -1,25 +1,25 @@
 import {expect, test} from 'vitest';
-import {isRetryable} from './configuration.js';
+import {mayExecuteAgain} from './configuration.js';
 import {createCrashSuspects} from './crash-suspects.js';
-import {addResult, createFailureRate, getFailureRatio} from './failure-rate.js';
+import {addResult, createFailureCounts, getFailureRatio} from './failure-counts.js';
 import {decideRetry, attemptLimit, type FailedAttempt} from './retry.js';
 import {createRetryBudget} from './retry-budget.js';
 import {buildRoute} from './testing.js';
 
 const attempt: FailedAttempt = {
-	isNotExecuted: false, isRetryable: true, possibleExecutions: 1, maxUpstreams: 2, attempts: 1, remainingTime: 500,
+	isNotExecuted: false, mayExecuteAgain: true, possibleExecutions: 1, maxUpstreams: 2, attempts: 1, remainingTime: 500,
 };
 
 test('only idempotent requests and resumable streams are retryable', () => {
-	expect(isRetryable(buildRoute({kind: 'idempotent'}))).toBe(true);
-	expect(isRetryable(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
-	expect(isRetryable(buildRoute({kind: 'streaming'}))).toBe(false);
-	expect(isRetryable(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
+	expect(mayExecuteAgain(buildRoute({kind: 'idempotent'}))).toBe(true);
+	expect(mayExecuteAgain(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
+	expect(mayExecuteAgain(buildRoute({kind: 'streaming'}))).toBe(false);
+	expect(mayExecuteAgain(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
 });
 
 test('a request that may have executed is not retried unless it is retryable', () => {
-	expect(decideRetry({...attempt, isRetryable: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
-	expect(decideRetry({...attempt, isRetryable: false, isNotExecuted: true})).toEqual({kind: 'resend'});
+	expect(decideRetry({...attempt, mayExecuteAgain: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
+	expect(decideRetry({...attempt, mayExecuteAgain: false, isNotExecuted: true})).toEqual({kind: 'resend'});
 	expect(decideRetry(attempt)).toEqual({kind: 'resend'});
 });
 
@@ -77,7 +77,7 @@
 });
 
 test('failures lose weight with time, and a single one does not dominate', () => {
-	let rate = createFailureRate(0);
+	let rate = createFailureCounts(0);
 	for (let index = 0; index < 20; index++) {
 		rate = addResult(rate, true, 0);
 	}
@@ -85,5 +85,5 @@
 	const recentRatio = getFailureRatio(rate, 0);
 	expect(recentRatio).toBeGreaterThan(0.8);
 	expect(getFailureRatio(rate, 30_000)).toBeLessThan(recentRatio / 10);
-	expect(getFailureRatio(addResult(createFailureRate(0), true, 0), 0)).toBeLessThan(0.3);
+	expect(getFailureRatio(addResult(createFailureCounts(0), true, 0), 0)).toBeLessThan(0.3);
 });
--- a/packages/routing/src/retry.ts
+++ b/packages/routing/src/retry.ts
@@ -4,13 +4,13 @@
 export type FailedAttempt = {
 	/** Whether the upstream is known not to have executed the request. */
 	isNotExecuted: boolean;
-	/** Whether the request may execute more than once. */
-	isRetryable: boolean;
+	/** Whether the request may execute again after an upstream may have executed it. */
+	mayExecuteAgain: boolean;
 	/** Number of upstreams that may have executed the request so far, including this one. */
 	possibleExecutions: number;
 	/** Maximum number of upstreams that may execute the request. */
 	maxUpstreams: number;
-	/** Number of attempts so far. */
+	/** Number of attempts so far that reached an upstream. */
 	attempts: number;
 	/** Time until the request's timeout. */
 	remainingTime: Milliseconds;
@@ -21,7 +21,7 @@
 	= | {kind: 'resend'}
 		| {kind: 'stop'; reason: 'may-have-run' | 'upstreams' | 'sends' | 'deadline'};
 
-/** Maximum number of attempts of one request, including rejected ones. */
+/** Maximum number of attempts of one request that reach an upstream, including those that the upstream rejects. */
 export const attemptLimit = 4;
 
 /** Remaining time below which a retry isn't worthwhile. */
@@ -29,7 +29,7 @@
 
 /** Decides whether a failed request may be retried on another upstream. Callers check the retry budget afterwards, as checking it takes from it. */
 export const decideRetry = (attempt: FailedAttempt): RetryDecision => {
-	if (!attempt.isNotExecuted && !attempt.isRetryable) {
+	if (!attempt.isNotExecuted && !attempt.mayExecuteAgain) {
 		return {kind: 'stop', reason: 'may-have-run'};
 	}
 
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -1,6 +1,6 @@
 import type {Random} from '@gentianlift/clock';
 import type {
-	Destination, CustomerKeys, Route, RoutingConfiguration, Service,
+	Destination, ConfiguredCustomer, Route, RoutingConfiguration, Service,
 } from './configuration.js';
 
 /** A configuration with indexes for lookups. */
@@ -9,13 +9,13 @@
 	/** Routes by host name, those with the longest path prefix first. */
 	routes: ReadonlyMap<string, readonly Route[]>;
 	/** Customers by API key. */
-	customers: ReadonlyMap<string, CustomerKeys>;
+	customers: ReadonlyMap<string, ConfiguredCustomer>;
 	/** Services by name. */
 	services: ReadonlyMap<string, Service>;
 };
 
 /** Sender of a request; `unknown` if the route requires an API key and the request has no valid one. */
-export type CallerIdentity = {kind: 'anonymous'} | {kind: 'customer'; customer: CustomerKeys} | {kind: 'unknown'};
+export type CallerIdentity = {kind: 'anonymous'} | {kind: 'customer'; customer: ConfiguredCustomer} | {kind: 'unknown'};
 
 const groupRoutes = (routes: readonly Route[]): Map<string, Route[]> => {
 	const groups = new Map<string, Route[]>();
