--- a/packages/claims/src/commands/claim-client.test.ts
+++ b/packages/claims/src/commands/claim-client.test.ts
@@ -88,7 +88,7 @@
 	});
 }
 
-test('an attempt that was given up never starts and releases its key', async () => {
+test('a withdrawn request never starts and frees its key', async () => {
 	const {a, b, keyValue, runUntilSettled, clock} = createFleet();
 	keyValue.setFaults({
 		chances: {
@@ -163,7 +163,7 @@
 	expect(keyValue.getCalls().writes).toBeLessThan(100);
 });
 
-test('a decision never rests on a stale state', async () => {
+test('an owner with an outdated cached slot still stores a settlement', async () => {
 	let owner = 'a';
 	const {a, b, keyValue, runUntilSettled} = createFleet(() => owner);
 	const {key} = createRequest('a', 1);
@@ -187,7 +187,7 @@
 	expect(await runUntilSettled(a.readClaim(key))).toMatchObject({claim: {outcome: {kind: 'finished'}}});
 });
 
-test('a late claim of a released attempt does not take the key', async () => {
+test('a late claim of a withdrawn request does not take the key', async () => {
 	const {a, b, runUntilSettled} = createFleet();
 	const {key} = createRequest('a', 1);
 	a.settle({key, request: 'a.1.1', outcome: {kind: 'not-run'}});
--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -33,11 +33,11 @@
 	/** Claims the key of a request; while another request with the key is in progress, waits up to `limit` for its outcome. */
 	join: (request: ClaimRequest, limit: Milliseconds) => Promise<ClaimDecision>;
 	/**
-	Stores the outcome of a request in the background, retrying until the service has stored it.
+	Stores the outcome of a request in the background, retrying until the key-value service has stored it.
 	The outcome `not-run` is allowed only if the request was never written to an upstream or the upstream refused it, and the request must not be sent afterwards.
 	*/
 	settle: (settlement: ClaimSettlement) => void;
-	/** Reads the claim of a key from the service. */
+	/** Reads the claim of a key from the key-value service. */
 	readClaim: (key: ClaimKey) => Promise<ClaimRead>;
 	/** Finds the claim of a non-idempotent request by its id, even if the host that claimed it is gone. */
 	readClaimByRequestId: (request: RequestId) => Promise<ClaimRead>;
--- a/packages/claims/src/commands/claim-removal.ts
+++ b/packages/claims/src/commands/claim-removal.ts
@@ -13,16 +13,16 @@
 	metrics: Metrics;
 	self: HostId;
 	keyValue: KeyValueService;
-	/** Returns the host that removes claims, given the key of the bucket floor; undefined when none is known. */
+	/** Returns the host that removes claims, given the key of the removal progress; undefined when none is known. */
 	getOwner: (ownerKey: string) => HostId | undefined;
 	limits?: ClaimLimits;
 };
 
-/** Removes the buckets of timed keys that are past the retention. One host does so at a time; concurrent removals are safe. */
+/** Removes the buckets of timed keys that are past the retention. One host does so at a time; concurrent removals are safe. Slots of untimed keys are never removed. */
 export type ClaimRemoval = {
 	/** Removes a limited number of old buckets; returns the number of entries removed. */
 	remove: () => Promise<number>;
-	/** Starts periodic removal while this host owns the bucket floor. */
+	/** Starts periodic removal; a run does nothing unless this host is the owner for the key of the removal progress. */
 	start: () => Cancel;
 };
 
@@ -44,7 +44,7 @@
 		}
 
 		for (const {key, revision} of list.entries) {
-			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the service.
+			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the key-value service.
 			const outcome = await keyValue.remove(key, revision);
 			metrics.count('claim_removals', {outcome: outcome.kind});
 			if (outcome.kind !== 'applied') {
@@ -55,7 +55,7 @@
 		return list.entries.length;
 	};
 
-	/** Closes the buckets that are old enough and returns the bucket floor, or undefined if a call failed. Closing precedes removal, so that a late claim for a removed bucket is refused. */
+	/** Closes the buckets that are old enough and returns the removal progress, or undefined if a call failed. Closing precedes removal, so that a late claim for a removed bucket is refused. */
 	const closeOldBuckets = async (): Promise<(RemovalProgress & {revision: number}) | undefined> => {
 		const progress = await readRemovalProgress(keyValue);
 		if (progress.kind === 'unavailable') {
@@ -82,7 +82,7 @@
 		let removed = 0;
 		let bucket = progress.removedBefore;
 		for (; bucket < endBucket; bucket++) {
-			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the service.
+			// eslint-disable-next-line no-await-in-loop -- Sequential removals limit the load on the key-value service.
 			const count = await removeBucket(bucket);
 			if (count === undefined) {
 				break;
--- a/packages/claims/src/slots/apply-claim.ts
+++ b/packages/claims/src/slots/apply-claim.ts
@@ -46,7 +46,7 @@
 	return timestamp > now + limits.maxTimestampLead ? {kind: 'invalid', reason: 'the time in the key is ahead'} : undefined;
 };
 
-/** Starts a request. Its claim replaces the previous one of the key, if there is one, whose request did not run, and records that request as withdrawn. */
+/** Starts a request. If `previous` is given, a claim of the key whose request did not run, the new claim replaces it and records that request as withdrawn. */
 const createStartTransition = (request: ClaimRequest, {now, limits}: ClaimContext, previous?: Claim): ClaimTransition => {
 	const refusal = getTimestampRefusal(request.key, now, limits);
 	if (refusal !== undefined) {
--- a/packages/claims/src/slots/commit.ts
+++ b/packages/claims/src/slots/commit.ts
@@ -99,7 +99,7 @@
 
 		case 'unknown': {
 			// The write may still be applied. The next step reads the slot and writes it with another token, from the same revision
-			// if nothing has changed: once one write from that revision is applied, the service rejects the other.
+			// if nothing has changed: once one write from that revision is applied, the key-value service rejects the other.
 			cachedSlot.snapshot = undefined;
 			break;
 		}
@@ -115,7 +115,7 @@
 /**
 Creates the function that commits operations to a slot by compare-and-swap and answers them.
 
-After each write the operations are applied again: one is answered only from a state in the service that already contains its change.
+After each write the operations are applied again: one is answered only from a state in the key-value service that already contains its change.
 */
 export const createCommit = ({clock, random, store, limits, isGone, createToken}: CommitOptions) => {
 	/** Whether the slot most likely has no value, as its bucket is recent. Writing it without a read saves a call; if it has a value, the write is rejected. */
@@ -139,7 +139,7 @@
 		return '';
 	};
 
-	/** Answers the operations from a state that the service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
+	/** Answers the operations from a state that the key-value service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
 	const answerBatch = async (cachedSlot: CachedSlot, snapshot: SlotSnapshot, pending: readonly PendingOperation[], answers: OperationAnswer[]): Promise<string> => {
 		if (!snapshot.state.checked && cachedSlot.slot.kind === 'timed') {
 			const progress = await store.readRemovalProgress();
--- a/packages/claims/src/slots/compact-claims.ts
+++ b/packages/claims/src/slots/compact-claims.ts
@@ -22,7 +22,7 @@
 /**
 Replaces the oldest settled claims beyond the limit by compact ones, in place.
 
-A compact claim keeps the digest and the outcome. A claim whose request didn't run is removed. Claims without an outcome stay as they are.
+A compact claim keeps the digest and the outcome. A claim whose request didn't run is removed. Claims that aren't settled (`claimed`) stay as they are.
 */
 export const compactClaims = (state: SlotState, limits: ClaimLimits): void => {
 	for (const [keyHash, claim] of state.claims) {
--- a/packages/claims/src/slots/removal-progress.ts
+++ b/packages/claims/src/slots/removal-progress.ts
@@ -1,10 +1,10 @@
 import type {KeyValueService, WriteOutcome} from '@gentianlift/types';
 import {z} from 'zod';
 
-/** Key of the bucket floor in the key-value service. */
+/** Key of the removal progress in the key-value service. */
 export const removalProgressKey = 'claims/floor';
 
-/** Low-water mark of the buckets of timed keys, below which claims are removed. */
+/** Progress of removing the buckets of timed keys: which are closed, and which of these are already removed. */
 export type RemovalProgress = {
 	/** Buckets before this one are closed: no request with a key in them starts. */
 	before: number;
@@ -12,7 +12,7 @@
 	removedBefore: number;
 };
 
-/** Result of reading the bucket floor. */
+/** Result of reading the removal progress. */
 export type RemovalProgressRead
 	= | (RemovalProgress & {kind: 'read'; revision: number})
 		| {kind: 'unavailable'; reason: string};
@@ -27,7 +27,7 @@
 	}
 };
 
-/** Reads the bucket floor; while none is stored, no bucket is closed. */
+/** Reads the removal progress; while none is stored, no bucket is closed. */
 export const readRemovalProgress = async (keyValue: KeyValueService): Promise<RemovalProgressRead> => {
 	const outcome = await keyValue.read(removalProgressKey);
 	switch (outcome.kind) {
@@ -50,6 +50,6 @@
 	}
 };
 
-/** Writes the bucket floor if its revision is `expected`. */
+/** Writes the removal progress if its revision is `expected`. */
 export const writeRemovalProgress = async (keyValue: KeyValueService, progress: RemovalProgress, expected: number): Promise<WriteOutcome> =>
 	keyValue.compareAndSwap({key: removalProgressKey, value: JSON.stringify(progress), expected});
--- a/packages/claims/src/slots/slot-state.ts
+++ b/packages/claims/src/slots/slot-state.ts
@@ -11,7 +11,7 @@
 
 /** Content of a slot. */
 export type SlotState = {
-	/** Unique to each write, so that no two writes have the same value. */
+	/** Id of the write that stored the state, so that no two writes have the same value, even of the same claims. Nothing reads it: the revision alone decides which of two writes is applied. */
 	token: string;
 	/** Whether the bucket of a timed slot was found open, so that it isn't checked again. Until then, the removal progress is read before an operation on the slot is answered. Always false for untimed keys. */
 	checked: boolean;
--- a/packages/claims/src/slots/slot-writer.ts
+++ b/packages/claims/src/slots/slot-writer.ts
@@ -8,9 +8,9 @@
 
 /** Batches the operations on each slot into compare-and-swaps, one at a time per slot. */
 export type SlotWriter = {
-	/** Applies an operation. Resolves with an answer that follows from a state in the service, or fails after `timeout`. */
+	/** Applies an operation. Resolves with an answer that follows from a state in the key-value service, or fails after `timeout`. */
 	apply: (slot: Slot, operation: Operation, timeout: Milliseconds) => Promise<OperationOutcome>;
-	/** Reads a slot from the service. */
+	/** Reads a slot from the key-value service. */
 	read: (slot: Slot) => Promise<SlotRead>;
 };
 
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -4,7 +4,7 @@
 import {isComplete, type Incoming} from './incoming.js';
 import type {AnswerHead} from './protocol.js';
 
-/** How the delivery of a stream ended: `cut` before its end, `broken` if an event is missing, so that it can't be continued. */
+/** How the delivery of a stream ended: `complete` with its last event, `cut` before that, `broken` because the upstream left out an event, so that no upstream can continue it. */
 export type DeliveryOutcome = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
 
 /** Options of the delivery of a stream from an upstream to a caller. */
@@ -26,7 +26,7 @@
 	response.writeHead(status, [...forwarded, ...(isClosing ? ['Connection', 'close'] : [])]);
 };
 
-/** Returns the events that the caller has not received yet, or undefined if one before them is missing. */
+/** Returns the events that the caller has not received yet, or undefined if one before them is missing. Upstreams number the events of a stream consecutively. */
 const getNewEvents = (events: readonly StreamEvent[], progress: Progress): StreamEvent[] | undefined => {
 	const newEvents: StreamEvent[] = [];
 	for (const event of events) {
--- a/packages/forwarder/src/error-answer.ts
+++ b/packages/forwarder/src/error-answer.ts
@@ -25,6 +25,7 @@
 };
 
 const millisecondsPerSecond = 1000;
+/** The delays are often shorter than a second, so the header gives fractions of one. */
 const retryAfterDecimals = 3;
 
 const getRetryHeader = (retryAfter: Milliseconds | undefined): string[] =>
--- a/packages/forwarder/src/event-splitter.ts
+++ b/packages/forwarder/src/event-splitter.ts
@@ -11,6 +11,7 @@
 	hasPartial: () => boolean;
 };
 
+/** Empty line that ends an event; lines that end with `\r\n` are not recognised. */
 const eventEnd = '\n\n';
 const idLine = /^id:\s?(?<id>\d+)\s*$/mv;
 
--- a/packages/forwarder/src/forward-limits.test.ts
+++ b/packages/forwarder/src/forward-limits.test.ts
@@ -1,7 +1,7 @@
 import {expect, onTestFinished, test} from 'vitest';
 import {getFingerprint, type Call} from './call.js';
 import {
-	answerOk, rejectUnexecuted, signed, createHostStarter, sum,
+	answerOk, rejectUnexecuted, upstreamMark, createHostStarter, sum,
 } from './test-deployment.js';
 import {sendRequest} from './testing.js';
 
@@ -47,7 +47,7 @@
 	const received: number[] = [];
 	const {host} = await start((request, response) => {
 		let length = 0;
-		response.writeHead(400, signed);
+		response.writeHead(400, upstreamMark);
 		response.end('no');
 		request.on('data', (chunk: Uint8Array) => {
 			length += chunk.length;
--- a/packages/forwarder/src/forward-outcome.ts
+++ b/packages/forwarder/src/forward-outcome.ts
@@ -14,7 +14,7 @@
 		| {kind: 'unreachable'; reason: string}
 	/** The upstream states that it has not executed the request. */
 		| {kind: 'rejected'; reason: string}
-	/** The request may have executed, and the answer can still come from another upstream, where the request may execute again; `buffered` is the upstream's own error answer. */
+	/** The request may have executed; another upstream can still answer it or continue its stream, if the request may execute again. `buffered` is the upstream's own error answer. */
 		| {kind: 'failed'; reason: string; buffered?: BufferedAnswer}
-	/** Part of the answer was delivered, and no other upstream can continue it. */
+	/** The request may have executed, and no other upstream may answer it: part of the answer was delivered and can't be continued, or an event is missing. */
 		| {kind: 'spoiled'; reason: string};
--- a/packages/forwarder/src/forward.test.ts
+++ b/packages/forwarder/src/forward.test.ts
@@ -2,7 +2,7 @@
 import type {Socket} from 'node:net';
 import {expect, onTestFinished, test} from 'vitest';
 import {
-	answerOk, resetConnection, configuration, rejectUnexecuted, signed, createHostStarter, sum, type AnswerHandler,
+	answerOk, resetConnection, configuration, rejectUnexecuted, upstreamMark, createHostStarter, sum, type AnswerHandler,
 } from './test-deployment.js';
 import {sendRequest, startTestHost} from './testing.js';
 
@@ -58,7 +58,7 @@
 
 test('a 503 without a statement that a non-idempotent request was not executed becomes a 502', async () => {
 	const {host} = await start((_, response) => {
-		response.writeHead(503, signed);
+		response.writeHead(503, upstreamMark);
 		response.end();
 	});
 	expect(await sendRequest(host.port, {path: '/book/1', headers: {attempt: 'a1'}})).toMatchObject({status: 502});
@@ -129,7 +129,7 @@
 	}
 };
 
-const stream = {...signed, 'content-type': 'text/event-stream'};
+const stream = {...upstreamMark, 'content-type': 'text/event-stream'};
 
 /** Resets the connection in the middle of event 3; a resumed stream continues after the last event that the caller has. */
 const resetMidway: AnswerHandler = (request, response) => {
--- a/packages/forwarder/src/forward.ts
+++ b/packages/forwarder/src/forward.ts
@@ -24,7 +24,15 @@
 /** Retry-After of answers to requests that no upstream could take. */
 const retryAfterDelay: Milliseconds = 500;
 
-/** How a call ended, as logged. */
+/**
+ * How a call ended, as logged. Outcomes:
+ * - `delivered`: an upstream's answer was delivered, whose status is the reason
+ * - `upstream-failure`: the last upstream's own error answer was delivered
+ * - `own-answer`: the router answered with the error that is the reason
+ * - `cut`: the connection was closed for the error that is the reason, as the answer had begun
+ * - `timeout`: the deadline passed
+ * - `caller-gone`: the caller disconnected
+ */
 type CallEnd = {outcome: string; reason?: string};
 
 /** Creates a forwarder. */
@@ -59,7 +67,7 @@
 		return {outcome: 'own-answer', reason: errorAnswer.kind};
 	};
 
-	/** Returns the error for a call without further attempts; after an attempt that may have executed, it must not claim the opposite. */
+	/** Returns the error for a call without further attempts; after an attempt that may have executed the request, the answer must not say that it did not run. */
 	const getFinalError = (progress: Progress, kind: ErrorKind): ErrorAnswer =>
 		progress.possibleExecutions > 0 ? {kind: 'upstream-reset', ran: 'unknown'} : {kind, retryAfter: retryAfterDelay};
 
@@ -165,7 +173,7 @@
 		progress.cancel?.();
 	};
 
-	/** Cancels the attempt of a caller that has disconnected, except a request that is neither retryable nor a stream. */
+	/** Cancels the attempt of a caller that has disconnected. An attempt of a non-idempotent call goes on, as it can't be repeated. */
 	const handleCallerDisconnect = (call: Call, progress: Progress): void => {
 		progress.isCallerGone = true;
 		if (call.mayExecuteAgain || call.route.kind === 'streaming') {
--- a/packages/forwarder/src/read-body.ts
+++ b/packages/forwarder/src/read-body.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import {isComplete, type Incoming} from './incoming.js';
 
-/** Result of reading a body; `broken` if the connection was lost before its end. */
+/** Result of reading a body: `whole` if all of it arrived, `too-large` above the size limit, `broken` if the connection was lost before its end. */
 export type Body
 	= | {kind: 'whole'; bytes: Uint8Array}
 		| {kind: 'too-large'}
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -13,15 +13,15 @@
 export type RequestQueue = {
 	/** Resolves with an assignment, or with undefined if there is no upstream for the call or the call has ended. */
 	enqueue: (call: Call, progress: Progress) => Promise<Assignment | undefined>;
-	/** Requests a dispatch pass as soon as the pacing allows, after the load of an upstream has changed. */
+	/** Requests a dispatch pass, which begins as soon as the pacing allows, after the load of an upstream has changed. */
 	requestDispatch: () => void;
 	/** Returns the number of queued calls. */
 	getLength: () => number;
 };
 
-/** Interval between dispatch passes; estimated backlogs shrink with time alone. */
+/** Interval between dispatch passes while no load changes, as estimated backlogs shrink with time. */
 const dispatchInterval: Milliseconds = 15;
-/** Minimum interval between two passes; each load report of another host requests one. */
+/** Minimum interval between two passes; each load report of another host requests a pass. */
 const minDispatchInterval: Milliseconds = 4;
 /** Minimum interval between two passes as a multiple of the last one's duration, which bounds the processor time spent on a long queue. */
 const dispatchPauseFactor = 4;
@@ -36,7 +36,7 @@
 	resolve: (assignment: Assignment | undefined) => void;
 };
 
-/** Result of one attempt to dispatch a queued call; `candidate` of a call that stays queued is the upstream it waits for. */
+/** Result of one attempt to dispatch a queued call; `candidate` of a call that stays queued is the upstream it waits for in this pass; the next pass chooses again. */
 type Decision = {kind: 'placed'; candidate: Candidate; isLatencySensitive: boolean} | {kind: 'waits'; candidate: Candidate} | {kind: 'impossible'};
 
 /** Uncached prompt tokens of this host's queued calls, by the upstream that they wait for. */
--- a/packages/forwarder/src/send.test.ts
+++ b/packages/forwarder/src/send.test.ts
@@ -116,7 +116,7 @@
 	expect(second?.kind === 'whole' ? Buffer.from(second.bytes).toString() : second).toBe('ok');
 });
 
-test('an answer to another attempt is rejected', async () => {
+test('an answer to another request is not accepted', async () => {
 	const server = await startUpstream(socket => {
 		socket.write('HTTP/1.1 200 OK\r\nAttempt: other\r\nContent-Length: 2\r\n\r\nok');
 	});
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -33,7 +33,7 @@
 	knownPeers: Address[];
 	/** Grace period between the signal to stop and the kill of the process. */
 	gracePeriod: Milliseconds;
-	/** Time to live of a list of addresses that callers were given. */
+	/** Time to live of a list of addresses that callers were given; capped at `maxAddressListTtl`. */
 	addressTtl: Milliseconds;
 	retryLimit: RetryLimit;
 };
@@ -54,7 +54,7 @@
 	isReady: () => boolean;
 	/** Returns the hosts that a caller in the availability zone is directed to. */
 	getHostsForCaller: (zone: Zone | undefined) => HostRecord[];
-	/** Time to live of the list of hosts that callers are given. */
+	/** Time to live of the list of hosts that callers are given: the configured one, capped at `maxAddressListTtl`. */
 	addressTtl: Milliseconds;
 	/** Returns the metrics in the text format that is served to scrapers. */
 	getMetricsPage: () => string;
--- a/packages/forwarder/src/stop-host.ts
+++ b/packages/forwarder/src/stop-host.ts
@@ -8,7 +8,7 @@
 	logger: Logger;
 	/** Time from the signal to stop until the process is killed. */
 	gracePeriod: Milliseconds;
-	/** Longest time for which callers use an address after they were given it. */
+	/** Longest time for which callers use an address after they were given it, which may exceed its time to live. */
 	maxAddressUse: Milliseconds;
 	/** Returns the number of requests that are being handled, including attempts that go on after the caller disconnected. */
 	countOpenRequests: () => number;
--- a/packages/forwarder/src/test-deployment.ts
+++ b/packages/forwarder/src/test-deployment.ts
@@ -21,11 +21,11 @@
 /** Request handler of a stub upstream. */
 export type AnswerHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** Headers of an answer that is signed by the upstream. */
-export const signed = {signed: '1'};
-/** Answers with status 200 and the id of the attempt. */
+/** Header that marks the answer of an upstream. */
+export const upstreamMark = {signed: '1'};
+/** Answers with status 200 and the caller's id of the request. */
 export const answerOk: AnswerHandler = (request, response) => {
-	response.writeHead(200, {...signed, attempt: request.headers.attempt ?? ''});
+	response.writeHead(200, {...upstreamMark, attempt: request.headers.attempt ?? ''});
 	response.end('ok');
 };
 
--- a/packages/routing/src/choose-upstream.ts
+++ b/packages/routing/src/choose-upstream.ts
@@ -74,7 +74,7 @@
 /** Cost of an upstream whose failure ratio is 1 for a service without prompts, in requests in flight. */
 const failureRequestCost = 20;
 
-/** Returns the cost of interference between a long prefill and latency-sensitive streams, whichever of them the request is. */
+/** Returns the cost of interference between a long prefill and latency-sensitive streams, whether the request is the long prefill or one of the streams. */
 const getInterferenceCost = ({isReserved, load, backlog, uncachedTokens, prefillRate}: Candidate, {isLatencySensitive}: RequestProfile): Milliseconds => {
 	const isInterfering = (backlog * prefillRate) + uncachedTokens > maxHarmlessPrefillTokens;
 	const interferenceCost = isInterfering ? load.latencySensitiveStreams * interferenceCostPerStream : 0;
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -50,7 +50,7 @@
 	idleTimeout: Milliseconds;
 };
 
-/** A customer with its API keys; its rank, if present, overrides that of the route. */
+/** A customer as configured: its name, its API keys, and a rank that, if present, overrides that of the route. */
 export type ConfiguredCustomer = {name: CustomerId; keys: string[]; rank?: Rank};
 
 /** A version of the operators' configuration. Version numbers only increase. */
--- a/packages/routing/src/crash-suspects.ts
+++ b/packages/routing/src/crash-suspects.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {UpstreamKey} from './upstream.js';
 
-/** A request that was running on an upstream when the upstream crashed. All copies of a request have the same fingerprint. */
+/** A crash of an upstream, and the fingerprint of a request that ran on it and may have caused it. All copies of a request have the same fingerprint. */
 export type SuspectedCrash = {fingerprint: string; upstream: UpstreamKey};
 
 /** Number of crashed upstreams after which a request is blocked. */
@@ -22,7 +22,7 @@
 	clear: (fingerprint: string) => boolean;
 	/** Whether the request crashed so many upstreams that it must not be sent to another one. */
 	isBlocked: (fingerprint: string, now: Milliseconds) => boolean;
-	/** Whether no fingerprint is recorded, in which case callers need not compute any. */
+	/** Whether no fingerprint is recorded, in which case none has to be computed for a check. */
 	isEmpty: () => boolean;
 };
 
--- a/packages/routing/src/preferred-upstream.ts
+++ b/packages/routing/src/preferred-upstream.ts
@@ -4,8 +4,8 @@
 
 /**
  * Returns the upstream that is preferred for a prompt whose shared parts aren't known to be cached anywhere, by
- * rendezvous hashing. All hosts choose the same one, also after a restart of the host or the upstream, so cached parts are
- * found again that no host has a record of. Undefined if the prompt has no shared parts.
+ * rendezvous hashing. All hosts choose the same one, also after a restart of the host or the upstream, so a request still
+ * finds parts that are cached there but that no host remembers. Undefined if the prompt has no shared parts.
  */
 export const getPreferredUpstream = (prompt: Prompt, upstreams: readonly Upstream[]): UpstreamKey | undefined => {
 	const shared = prompt.parts.at(-2)?.id;
--- a/packages/routing/src/prompt-cache.ts
+++ b/packages/routing/src/prompt-cache.ts
@@ -6,13 +6,13 @@
 /** Cached tokens at the beginning of a prompt: all of them, and those in parts that other requests share. */
 export type CachedTokens = {all: number; shared: number};
 
-/** Model of an upstream's prompt cache, with eviction of the least recently used parts. */
+/** Estimate of what an upstream's prompt cache holds, with eviction of the least recently used parts. */
 export type PromptCacheEstimate = {
 	/** Adds the parts of a prompt that the upstream prefills. */
 	add: (prompt: Pick<Prompt, 'model' | 'parts'>) => void;
-	/** Returns how many tokens at the beginning of the prompt are cached, and how many of these belong to shared parts. */
+	/** Returns how many tokens at the beginning of the prompt are assumed to be cached, and how many of these belong to shared parts. */
 	getCachedTokens: (prompt: Prompt) => CachedTokens;
-	/** Returns whether the part is cached. */
+	/** Returns whether the part is assumed to be cached. */
 	has: (model: string, part: string) => boolean;
 };
 
@@ -34,7 +34,7 @@
 	return keys;
 };
 
-/** Creates the model of an empty cache for `capacityTokens` tokens. */
+/** Creates the estimate for an empty cache of `capacityTokens` tokens. */
 export const createPromptCacheEstimate = (capacityTokens: number): PromptCacheEstimate => {
 	const cachedParts = new Map<string, number>();
 	const maxTokens = capacityTokens * usableFraction;
--- a/packages/routing/src/queue-order.ts
+++ b/packages/routing/src/queue-order.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds, Rank} from '@gentianlift/types';
 import type {Route} from './configuration.js';
 
-/** A request that is queued until an upstream can take it. */
+/** Properties of a queued request that determine its position in the queue. */
 export type QueuePosition = {
 	rank: Rank;
 	/** When the target for its first token is missed. */
@@ -30,7 +30,8 @@
 };
 
 /**
- * Returns the maximum backlog at which an upstream may receive a request of the rank. Upstreams prefill prompts in
+ * Returns the maximum backlog at which an upstream may receive a request of the rank; infinite if no route to the service
+ * has a higher rank. Upstreams prefill prompts in
  * order of arrival, so a request that is sent too early delays later ones of higher ranks.
  */
 export const getBacklogLimit = (routes: readonly Route[], service: string, rank: Rank): Milliseconds => {
--- a/packages/routing/src/reserved-upstreams.ts
+++ b/packages/routing/src/reserved-upstreams.ts
@@ -27,8 +27,8 @@
 	return eventInterval > route.eventIntervalTarget * (1 - networkMargin);
 };
 
-/** Number of a service's upstreams that are reserved for latency-sensitive streams, and when that many were last needed. */
-export type Reservation = {count: number; changedAt: Milliseconds};
+/** Number of a service's upstreams that are reserved for latency-sensitive streams, and when that many were last needed or the number was last reduced. */
+export type Reservation = {count: number; heldSince: Milliseconds};
 
 /** Time for which an upstream that is no longer needed stays reserved; reserving it again forces other upstreams to repeat the prefill of its prompts. */
 const reservationHold: Milliseconds = 10_000;
@@ -37,10 +37,10 @@
 export const updateReservation = (previous: Reservation | undefined, latencySensitiveStreams: number, now: Milliseconds): Reservation => {
 	const needed = Math.ceil(latencySensitiveStreams / streamsPerReservedUpstream);
 	if (previous === undefined || needed >= previous.count) {
-		return {count: needed, changedAt: now};
+		return {count: needed, heldSince: now};
 	}
 
-	return now - previous.changedAt > reservationHold ? {count: previous.count - 1, changedAt: now} : previous;
+	return now - previous.heldSince > reservationHold ? {count: previous.count - 1, heldSince: now} : previous;
 };
 
 /** Hashes by upstream, cached because each decision sorts all upstreams of a service. */
--- a/packages/routing/src/retry.ts
+++ b/packages/routing/src/retry.ts
@@ -16,7 +16,13 @@
 	remainingTime: Milliseconds;
 };
 
-/** Whether to retry on another upstream; if not, the reason, which is also counted in metrics. */
+/**
+ * Whether to retry on another upstream; if not, the reason, which is also counted in metrics:
+ * - `may-have-run`: the request may have executed and must not execute again
+ * - `upstreams`: as many upstreams as allowed may have executed it
+ * - `sends`: the limit of attempts is reached
+ * - `deadline`: too little time is left
+ */
 export type RetryDecision
 	= | {kind: 'resend'}
 		| {kind: 'stop'; reason: 'may-have-run' | 'upstreams' | 'sends' | 'deadline'};
@@ -27,7 +33,7 @@
 /** Remaining time below which a retry isn't worthwhile. */
 const minRemainingTime: Milliseconds = 20;
 
-/** Decides whether a failed request may be retried on another upstream. Callers check the retry budget afterwards, as checking it takes from it. */
+/** Decides whether a failed request may be retried on another upstream. The retry budget is checked separately and last, as checking it takes from it. */
 export const decideRetry = (attempt: FailedAttempt): RetryDecision => {
 	if (!attempt.isNotExecuted && !attempt.mayExecuteAgain) {
 		return {kind: 'stop', reason: 'may-have-run'};
--- a/packages/routing/src/upstream.ts
+++ b/packages/routing/src/upstream.ts
@@ -10,7 +10,7 @@
 	zone: Zone;
 	/** Whether it is draining before it stops and must get no new requests. */
 	isLeaving: boolean;
-	/** Number of requests that it runs concurrently. */
+	/** Maximum number of requests that it runs concurrently. */
 	slots: number;
 	/** Start time in milliseconds since the epoch; a new value with the same id means a new incarnation. */
 	startedAt: Milliseconds;
