--- a/packages/claims/src/slots/limits.ts
+++ b/packages/claims/src/slots/limits.ts
@@ -24,7 +24,7 @@
 	writeInterval: Milliseconds;
 	/** Maximum time for storing a claim. */
 	claimTimeout: Milliseconds;
-	/** Maximum time for one attempt to store a settlement. */
+	/** Maximum time for trying once to store a settlement. */
 	settleTimeout: Milliseconds;
 };
 
--- a/packages/forwarder/src/request-queue.ts
+++ b/packages/forwarder/src/request-queue.ts
@@ -36,7 +36,7 @@
 	resolve: (assignment: Assignment | undefined) => void;
 };
 
-/** Result of one attempt to dispatch a queued call; `candidate` of a call that stays queued is the upstream it waits for in this pass; the next pass chooses again. */
+/** Result of trying to dispatch a queued call; `candidate` of a call that stays queued is the upstream it waits for in this pass; the next pass chooses again. */
 type Decision = {kind: 'placed'; candidate: Candidate; isLatencySensitive: boolean} | {kind: 'waits'; candidate: Candidate} | {kind: 'impossible'};
 
 /** Uncached prompt tokens of this host's queued calls, by the upstream that they wait for. */
--- a/packages/routing/src/retry.test.ts
+++ b/packages/routing/src/retry.test.ts
@@ -10,14 +10,14 @@
 	isNotExecuted: false, mayExecuteAgain: true, possibleExecutions: 1, maxUpstreams: 2, attempts: 1, remainingTime: 500,
 };
 
-test('only idempotent requests and resumable streams are retryable', () => {
+test('only idempotent requests and resumable streams may execute again', () => {
 	expect(mayExecuteAgain(buildRoute({kind: 'idempotent'}))).toBe(true);
 	expect(mayExecuteAgain(buildRoute({kind: 'non-idempotent', isResumable: true}))).toBe(false);
 	expect(mayExecuteAgain(buildRoute({kind: 'streaming'}))).toBe(false);
 	expect(mayExecuteAgain(buildRoute({kind: 'streaming', isResumable: true}))).toBe(true);
 });
 
-test('a request that may have executed is not retried unless it is retryable', () => {
+test('a request that may have executed is not retried unless it may execute again', () => {
 	expect(decideRetry({...attempt, mayExecuteAgain: false})).toEqual({kind: 'stop', reason: 'may-have-run'});
 	expect(decideRetry({...attempt, mayExecuteAgain: false, isNotExecuted: true})).toEqual({kind: 'resend'});
 	expect(decideRetry(attempt)).toEqual({kind: 'resend'});
