--- a/packages/claims/src/slots/commit.ts
+++ b/packages/claims/src/slots/commit.ts
@@ -51,7 +51,7 @@
 /** Delays in milliseconds between the retries of a failed call. */
 const backoff = {initial: 10, max: 200};
 const maxExponent = 8;
-const floorUnavailableReason = 'the floor could not be read';
+const progressUnavailableReason = 'the floor could not be read';
 
 const getBackoff = (retries: number, random: Random): Milliseconds =>
 	Math.min(backoff.max, backoff.initial * (2 ** Math.min(retries, maxExponent))) * (0.5 + random.next());
@@ -99,7 +99,7 @@
 
 		case 'unknown': {
 			// The write may still be applied. The next step reads the slot and writes it with another token, from the same revision
-			// if nothing has changed: once one write from that revision is applied, the service rejects the other.
+			// if nothing has changed: once one write from that revision is applied, the key-value service rejects the other.
 			cachedSlot.snapshot = undefined;
 			break;
 		}
@@ -115,7 +115,7 @@
 /**
 Creates the function that commits operations to a slot by compare-and-swap and answers them.
 
-After each write the operations are applied again: one is answered only from a state in the service that already contains its change.
+After each write the operations are applied again: one is answered only from a state in the key-value service that already contains its change.
 */
 export const createCommit = ({clock, random, store, limits, isGone, createToken}: CommitOptions) => {
 	/** Whether the slot most likely has no value, as its bucket is recent. Writing it without a read saves a call; if it has a value, the write is rejected. */
@@ -139,15 +139,15 @@
 		return '';
 	};
 
-	/** Answers the operations from a state that the service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
+	/** Answers the operations from a state that the key-value service holds, after checking that the slot's bucket isn't closed; returns why that failed, or an empty text. */
 	const answerBatch = async (cachedSlot: CachedSlot, snapshot: SlotSnapshot, pending: readonly PendingOperation[], answers: OperationAnswer[]): Promise<string> => {
 		if (!snapshot.state.checked && cachedSlot.slot.kind === 'timed') {
-			const floor = await store.readBucketFloor();
-			if (floor.kind === 'unavailable') {
-				return floorUnavailableReason;
+			const progress = await store.readRemovalProgress();
+			if (progress.kind === 'unavailable') {
+				return progressUnavailableReason;
 			}
 
-			if (floor.before > cachedSlot.slot.bucket) {
+			if (progress.before > cachedSlot.slot.bucket) {
 				cachedSlot.snapshot = undefined;
 				resolveAnswered(pending, ({operation}) => getClosedBucketAnswer(operation));
 				await store.remove(cachedSlot.slot, snapshot.revision);
--- a/packages/routing/src/retry.ts
+++ b/packages/routing/src/retry.ts
@@ -4,32 +4,38 @@
 export type FailedAttempt = {
 	/** Whether the upstream is known not to have executed the request. */
 	isNotExecuted: boolean;
-	/** Whether the request may execute more than once. */
-	isRetryable: boolean;
+	/** Whether the request may execute again after an upstream may have executed it. */
+	mayExecuteAgain: boolean;
 	/** Number of upstreams that may have executed the request so far, including this one. */
 	possibleExecutions: number;
 	/** Maximum number of upstreams that may execute the request. */
 	maxUpstreams: number;
-	/** Number of attempts so far. */
+	/** Number of attempts so far that reached an upstream. */
 	attempts: number;
 	/** Time until the request's timeout. */
 	remainingTime: Milliseconds;
 };
 
-/** Whether to retry on another upstream; if not, the reason, which is also counted in metrics. */
+/**
+ * Whether to retry on another upstream; if not, the reason, which is also counted in metrics:
+ * - `may-have-run`: the request may have executed and must not execute again
+ * - `upstreams`: as many upstreams as allowed may have executed it
+ * - `sends`: the limit of attempts is reached
+ * - `deadline`: too little time is left
+ */
 export type RetryDecision
 	= | {kind: 'resend'}
 		| {kind: 'stop'; reason: 'may-have-run' | 'upstreams' | 'sends' | 'deadline'};
 
-/** Maximum number of attempts of one request, including rejected ones. */
+/** Maximum number of attempts of one request that reach an upstream, including those that the upstream rejects. */
 export const attemptLimit = 4;
 
 /** Remaining time below which a retry isn't worthwhile. */
 const minRemainingTime: Milliseconds = 20;
 
-/** Decides whether a failed request may be retried on another upstream. Callers check the retry budget afterwards, as checking it takes from it. */
+/** Decides whether a failed request may be retried on another upstream. The retry budget is checked separately and last, as checking it takes from it. */
 export const decideRetry = (attempt: FailedAttempt): RetryDecision => {
-	if (!attempt.isNotExecuted && !attempt.isRetryable) {
+	if (!attempt.isNotExecuted && !attempt.mayExecuteAgain) {
 		return {kind: 'stop', reason: 'may-have-run'};
 	}
 
