--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -1,30 +1,30 @@
-import {askAnyHost, askHost} from '../ask.js';
+import {callAnyHost, callHost} from '../ask.js';
 import {exitCodes} from '../exit-codes.js';
-import {createFailed, createOk, type Result} from '../result.js';
+import {createFailure, createSuccess, type Result} from '../result.js';
 import type {Session} from '../session.js';
 
 const changeHost = async (session: Session, host: string, path: string, body: unknown): Promise<Result> => {
 	const target = session.operators.find(operator => operator.host === host);
 	if (target === undefined) {
-		return createFailed(exitCodes.usage, `${host} is not among the hosts given: ${session.operators.map(operator => operator.host).join(', ')}.`);
+		return createFailure(exitCodes.usage, `${host} is not among the hosts given: ${session.operators.map(operator => operator.host).join(', ')}.`);
 	}
 
-	const asked = await askHost(session, target, {method: 'POST', path, body});
-	return asked.kind === 'failed' ? asked.result : createOk([`${host}: ${path.split('/').at(-1)} accepted.`], {host, answer: asked.body});
+	const answer = await callHost(session, target, {method: 'POST', path, body});
+	return answer.kind === 'failed' ? answer.result : createSuccess([`${host}: ${path.split('/').at(-1)} accepted.`], {host, answer: answer.body});
 };
 
-/** Takes a host out of service; its requests are finished unless forced. */
+/** Drains a host: it takes no new requests, and finishes those that it has unless `isForced`. */
 export const drainHost = async (session: Session, host: string, isForced: boolean): Promise<Result> =>
 	changeHost(session, host, '/operator/drain', {force: isForced});
 
-/** Puts a host back in service. */
+/** Puts a drained host back in service. */
 export const undrainHost = async (session: Session, host: string): Promise<Result> => changeHost(session, host, '/operator/undrain', {});
 
-/** Takes an upstream out of service or puts it back; any host passes it on to the others. */
+/** Drains an upstream or puts it back in service. Any host accepts the call and forwards it to the others. */
 export const changeUpstream = async (session: Session, upstream: string, action: 'drain' | 'undrain'): Promise<Result> => {
 	const path = `/operator/upstreams/${encodeURIComponent(upstream)}/${action}`;
-	const asked = await askAnyHost(session, {method: 'POST', path, body: {}});
-	return asked.kind === 'failed'
-		? asked.result
-		: createOk([`${upstream}: ${action} accepted by ${asked.target.host}.`], {upstream, host: asked.target.host});
+	const answer = await callAnyHost(session, {method: 'POST', path, body: {}});
+	return answer.kind === 'failed'
+		? answer.result
+		: createSuccess([`${upstream}: ${action} accepted by ${answer.target.host}.`], {upstream, host: answer.target.host});
 };
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -4,33 +4,33 @@
 } from '@gentianlift/distribution';
 import type {ConfigurationVersion, KeyValueService} from '@gentianlift/types';
 import {exitCodes} from '../exit-codes.js';
-import {getReadFailure, readConfigurationFile} from '../queries/index.js';
-import {createFailed, createFaulty, type Result} from '../result.js';
-import {missingUrl, type Session} from '../session.js';
+import {createReadFailure, readConfigurationFile} from '../queries/index.js';
+import {createFailure, createInvalidFileFailure, type Result} from '../result.js';
+import {missingKeyValueUrlMessage, type Session} from '../session.js';
 import {formatTable} from '../table.js';
-import {waitInForce} from './wait-in-force.js';
+import {waitUntilInForce} from './wait-in-force.js';
 
-/** What an operator says of a publication. */
+/** Options of a publication that the operator gives as flags. */
 export type PublishFlags = {base?: number; note: string; author?: string};
 
-type Publishing = {session: Session; keyValue: KeyValueService; name: string; base: number};
+type PublishContext = {session: Session; keyValue: KeyValueService; name: string; base: number};
 
-const reportInForce = async ({session}: Publishing, {version}: ConfigurationVersion, head: string): Promise<Result> => {
+const reportRollout = async ({session}: PublishContext, {version}: ConfigurationVersion, headline: string): Promise<Result> => {
 	if (session.operators.length === 0) {
-		return {exitCode: exitCodes.ok, lines: [head, 'No hosts are given, so it isn\'t known where it is in force.'], data: {version, hosts: []}};
+		return {exitCode: exitCodes.ok, lines: [headline, 'No hosts are given, so it isn\'t known where it is in force.'], data: {version, hosts: []}};
 	}
 
-	const hosts = await waitInForce(session, version);
-	const late = hosts.filter(({inForce}) => !inForce).map(({host}) => host);
-	const tail = late.length === 0 ? 'It is in force at every host.' : `Not confirmed by: ${late.join(', ')}.`;
+	const hosts = await waitUntilInForce(session, version);
+	const unconfirmedHosts = hosts.filter(({inForce}) => !inForce).map(({host}) => host);
+	const summary = unconfirmedHosts.length === 0 ? 'It is in force at every host.' : `Not confirmed by: ${unconfirmedHosts.join(', ')}.`;
 	return {
-		exitCode: late.length === 0 ? exitCodes.ok : exitCodes.failed,
-		lines: [head, ...formatTable(hosts, ['host', 'inForce', 'version', 'state']), tail],
-		data: {version, hosts, unconfirmed: late},
+		exitCode: unconfirmedHosts.length === 0 ? exitCodes.ok : exitCodes.failed,
+		lines: [headline, ...formatTable(hosts, ['host', 'inForce', 'version', 'state']), summary],
+		data: {version, hosts, unconfirmed: unconfirmedHosts},
 	};
 };
 
-const reportConflict = ({base, name}: Publishing, current: ConfigurationVersion | undefined, changes: Change[]): Result => {
+const reportConflict = ({base, name}: PublishContext, current: ConfigurationVersion | undefined, changes: Change[]): Result => {
 	const version = current?.version ?? 0;
 	const author = current === undefined ? '' : ` by ${current.author}`;
 	return {
@@ -47,34 +47,34 @@
 	};
 };
 
-const report = async (publishing: Publishing, outcome: PublishOutcome): Promise<Result> => {
+const reportOutcome = async (context: PublishContext, outcome: PublishOutcome): Promise<Result> => {
 	switch (outcome.kind) {
 		case 'applied': {
 			const [result] = await Promise.all([
-				reportInForce(publishing, outcome.version, `Version ${outcome.version.version} is accepted.`),
-				updateHistory(publishing.keyValue, outcome.version),
+				reportRollout(context, outcome.version, `Version ${outcome.version.version} is accepted.`),
+				updateHistory(context.keyValue, outcome.version),
 			]);
 			return result;
 		}
 
 		case 'unchanged': {
-			return reportInForce(publishing, outcome.version, `Version ${outcome.version.version} is the same already.`);
+			return reportRollout(context, outcome.version, `Version ${outcome.version.version} is the same already.`);
 		}
 
 		case 'conflict': {
-			return reportConflict(publishing, outcome.current, outcome.changes);
+			return reportConflict(context, outcome.current, outcome.changes);
 		}
 
 		case 'invalid': {
-			return createFaulty(publishing.name, outcome.faults);
+			return createInvalidFileFailure(context.name, outcome.faults);
 		}
 
 		case 'unavailable': {
-			return createFailed(exitCodes.unavailable, `Not published: the key-value service can't be reached: ${outcome.reason}`);
+			return createFailure(exitCodes.unavailable, `Not published: the key-value service can't be reached: ${outcome.reason}`);
 		}
 
 		case 'unknown': {
-			return createFailed(
+			return createFailure(
 				exitCodes.unavailable,
 				`Unknown: the service didn't say whether it took the write (${outcome.reason}). It may be accepted later; publishing again is safe.`,
 				{unknown: true, token: outcome.token},
@@ -83,19 +83,19 @@
 	}
 };
 
-const publish = async (publishing: Publishing, document: unknown, flags: PublishFlags): Promise<Result> => {
-	const {session: {clock, createToken, author}, keyValue, base} = publishing;
+const publish = async (context: PublishContext, document: unknown, flags: PublishFlags): Promise<Result> => {
+	const {session: {clock, createToken, author}, keyValue, base} = context;
 	const outcome = await publishConfiguration({clock, keyValue}, {
 		document, base, token: createToken(), author: flags.author ?? author, note: flags.note,
 	});
-	return report(publishing, outcome);
+	return reportOutcome(context, outcome);
 };
 
-/** Publishes a file as the version after its base, and tells where it is in force. */
+/** Publishes a file as the version that follows its base, and reports which hosts have it in force. */
 export const publishFile = async (session: Session, file: string, flags: PublishFlags): Promise<Result> => {
 	const {keyValue} = session;
 	if (keyValue === undefined) {
-		return createFailed(exitCodes.usage, missingUrl);
+		return createFailure(exitCodes.usage, missingKeyValueUrlMessage);
 	}
 
 	const read = await readConfigurationFile(session, file);
@@ -103,27 +103,27 @@
 		return read.result;
 	}
 
-	const publishing = {
+	const context = {
 		session, keyValue, name: file, base: flags.base ?? read.base ?? 0,
 	};
-	return publish(publishing, read.configuration, flags);
+	return publish(context, read.configuration, flags);
 };
 
-/** Publishes an older version again, as a new one. */
+/** Publishes the configuration of an older version as a new version. */
 export const rollBack = async (session: Session, version: number, flags: PublishFlags): Promise<Result> => {
 	const {keyValue} = session;
 	if (keyValue === undefined) {
-		return createFailed(exitCodes.usage, missingUrl);
+		return createFailure(exitCodes.usage, missingKeyValueUrlMessage);
 	}
 
 	const older = await readVersion(keyValue, version);
 	if (older.kind !== 'found') {
-		return getReadFailure(older, `version ${version}`);
+		return createReadFailure(older, `version ${version}`);
 	}
 
 	const current = await readCurrentVersion(keyValue);
 	if (current.kind !== 'found') {
-		return getReadFailure(current, 'accepted version yet');
+		return createReadFailure(current, 'accepted version yet');
 	}
 
 	const base = flags.base ?? current.stored.version.version;
--- a/packages/cli/src/commands/wait-in-force.ts
+++ b/packages/cli/src/commands/wait-in-force.ts
@@ -2,30 +2,30 @@
 import {readHostStatuses, type HostStatus} from '../host-status.js';
 import type {Session} from '../session.js';
 
-/** Whether a version is in force at a host. */
-export type InForce = {host: string; inForce: boolean; version: number | undefined; state: string};
+/** Version that a host has in force, and whether it is the expected one or a newer one. */
+export type VersionInForce = {host: string; inForce: boolean; version: number | undefined; state: string};
 
-const waitLimit: Milliseconds = 8000;
-const interval: Milliseconds = 250;
+const maxWait: Milliseconds = 8000;
+const pollInterval: Milliseconds = 250;
 
-const getInForce = ({host, version, state}: HostStatus, wanted: number): InForce =>
+const getVersionInForce = ({host, version, state}: HostStatus, expectedVersion: number): VersionInForce =>
 	({
-		host, inForce: version !== undefined && version >= wanted, version, state,
+		host, inForce: version !== undefined && version >= expectedVersion, version, state,
 	});
 
-/** Waits until a version, or a newer one, is in force at every host, up to a limit. */
-export const waitInForce = async (session: Session, version: number): Promise<InForce[]> => {
+/** Polls the hosts until every one has the version or a newer one in force, for at most `maxWait`. */
+export const waitUntilInForce = async (session: Session, version: number): Promise<VersionInForce[]> => {
 	const {clock} = session;
-	const end = clock.monotonic() + waitLimit;
+	const deadline = clock.monotonic() + maxWait;
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- Each round asks anew.
+		// eslint-disable-next-line no-await-in-loop -- Each round polls the hosts again.
 		const statuses = await readHostStatuses(session);
-		const hosts = statuses.map(status => getInForce(status, version));
-		if (hosts.every(({inForce}) => inForce) || clock.monotonic() >= end) {
+		const hosts = statuses.map(status => getVersionInForce(status, version));
+		if (hosts.every(({inForce}) => inForce) || clock.monotonic() >= deadline) {
 			return hosts;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- A wait between two rounds.
-		await clock.sleep(interval);
+		// eslint-disable-next-line no-await-in-loop -- The interval between two polls.
+		await clock.sleep(pollInterval);
 	}
 };
--- a/packages/cli/src/environment.ts
+++ b/packages/cli/src/environment.ts
@@ -2,13 +2,13 @@
 import type {KeyValueService} from '@gentianlift/types';
 import type {OperatorClient} from './operator-client.js';
 
-/** What the command line needs of the outside. */
+/** Dependencies of the command line on the process, the file system and the network. */
 export type Environment = {
 	clock: Clock;
 	variables: Record<string, string | undefined>;
-	/** Unique among all runs of the command line on all machines. */
+	/** Returns a token that no other run of the command line has, on any computer. */
 	createToken: () => string;
-	/** Undefined if the file can't be read. */
+	/** Returns the text of a file; undefined if it can't be read. */
 	readFile: (path: string) => Promise<string | undefined>;
 	createKeyValue: (url: string) => KeyValueService & {close: () => void};
 	callOperator: OperatorClient;
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,14 +1,14 @@
 /** Exit codes of the command line. */
 export const exitCodes = {
-	/** Done. */
+	/** The command succeeded. */
 	ok: 0,
-	/** Not done, or not everywhere. */
+	/** The command failed, or succeeded at some hosts only. */
 	failed: 1,
-	/** A wrong command, flag or file name. */
+	/** Wrong command, flag or file name. */
 	usage: 2,
-	/** Another operator changed the configuration. */
+	/** Another operator has changed the configuration since the base version. */
 	conflict: 3,
-	/** The service or the hosts can't be reached, or it isn't known what became of a write. */
+	/** The key-value service or the hosts can't be reached, or the outcome of a write is unknown. */
 	unavailable: 4,
 } as const;
 
--- a/packages/cli/src/fake-environment.ts
+++ b/packages/cli/src/fake-environment.ts
@@ -3,25 +3,25 @@
 import type {Environment} from './environment.js';
 import type {OperatorCall, OperatorOutcome} from './operator-client.js';
 
-/** A host of a fake environment. */
+/** Host of a fake environment. */
 export type FakeHost = {version: number; isReachable: boolean};
 
-/** An environment without files or network, for tests. */
+/** Environment with in-memory files, hosts and key-value service, for tests. */
 export type FakeEnvironment = Environment & {
 	files: Map<string, string>;
 	service: MemoryKeyValue;
 	hosts: Map<string, FakeHost>;
-	/** Calls of hosts that change something. */
+	/** POST calls that the hosts received, as `host path body`. */
 	commands: string[];
 };
 
-const upstream = {
+const sampleUpstream = {
 	id: 'kopi-engine-1', zone: 'attica-a', group: 'counter-8b', owner: 'h1', standing: 'live', running: 3, waiting: 0,
 };
 
-const account = {id: 'h1.1.7', ran: 'ran', state: {kind: 'finished', at: 0, status: 200}};
+const sampleAccount = {id: 'h1.1.7', ran: 'ran', state: {kind: 'finished', at: 0, status: 200}};
 
-const answer = (host: string, {version}: FakeHost, path: string): unknown => {
+const getResponseBody = (host: string, {version}: FakeHost, path: string): unknown => {
 	switch (path) {
 		case '/operator/status': {
 			return {
@@ -38,11 +38,11 @@
 		}
 
 		case '/operator/upstreams': {
-			return {upstreams: [upstream]};
+			return {upstreams: [sampleUpstream]};
 		}
 
 		case '/operator/requests/h1.1.7': {
-			return account;
+			return sampleAccount;
 		}
 
 		default: {
@@ -51,9 +51,9 @@
 	}
 };
 
-const callFake = ({hosts, commands}: Pick<FakeEnvironment, 'hosts' | 'commands'>, host: string, {method, path, body}: OperatorCall): OperatorOutcome => {
-	const fake = hosts.get(host);
-	if (fake?.isReachable !== true) {
+const callFakeHost = ({hosts, commands}: Pick<FakeEnvironment, 'hosts' | 'commands'>, host: string, {method, path, body}: OperatorCall): OperatorOutcome => {
+	const fakeHost = hosts.get(host);
+	if (fakeHost?.isReachable !== true) {
 		return {kind: 'unreachable', reason: 'connect ECONNREFUSED'};
 	}
 
@@ -62,13 +62,13 @@
 		return {kind: 'answered', status: 200, body: {}};
 	}
 
-	const found = answer(host, fake, path);
-	return found === undefined
+	const responseBody = getResponseBody(host, fakeHost, path);
+	return responseBody === undefined
 		? {kind: 'answered', status: 404, body: {error: {message: 'Nothing is known of this request.'}}}
-		: {kind: 'answered', status: 200, body: found};
+		: {kind: 'answered', status: 200, body: responseBody};
 };
 
-/** Creates an environment with hosts h1, h2 and h3. */
+/** Creates a fake environment with the hosts h1, h2 and h3. */
 export const createFakeEnvironment = (clock: Clock): FakeEnvironment => {
 	const files = new Map<string, string>();
 	const service = createMemoryKeyValue({clock, random: createRandom(1)});
@@ -85,6 +85,6 @@
 		createToken: () => `token-${++sequence}`,
 		readFile: async path => files.get(path),
 		createKeyValue: () => ({...service, close: () => undefined}),
-		callOperator: async ({host}, call) => callFake({hosts, commands}, host, call),
+		callOperator: async ({host}, call) => callFakeHost({hosts, commands}, host, call),
 	};
 };
--- a/packages/cli/src/find-command.ts
+++ b/packages/cli/src/find-command.ts
@@ -1,15 +1,15 @@
 import type {ArgsDef, CommandDef, SubCommandsDef} from 'citty';
 
-/** The command that the arguments name. */
-export type Found = {command: CommandDef; path: string[]; rest: string[]; args: ArgsDef; hasSubCommands: boolean};
+/** Command that the arguments name, with its path of names and the arguments after them. */
+export type FoundCommand = {command: CommandDef; path: string[]; rest: string[]; args: ArgsDef; hasSubCommands: boolean};
 
-const getName = (argument: string): string => argument.replace(/^-+/v, '').split('=')[0] ?? '';
+const getFlagName = (argument: string): string => argument.replace(/^-+/v, '').split('=')[0] ?? '';
 
 const toCamelCase = (name: string): string => name.replaceAll(/-([a-z])/gv, (_match, letter: string) => letter.toUpperCase());
 
-/** Finds the command that the arguments name; commands are plain data here, never promises. */
-export const findCommand = (main: CommandDef, rawArgs: string[]): Found => {
-	let found: Found = {
+/** Finds the command that the arguments name. Subcommands must be plain objects: citty's promises and functions aren't resolved. */
+export const findCommand = (main: CommandDef, rawArgs: string[]): FoundCommand => {
+	let found: FoundCommand = {
 		command: main, path: [], rest: rawArgs, args: {}, hasSubCommands: true,
 	};
 	for (;;) {
@@ -27,37 +27,37 @@
 };
 
 const isKnown = (argument: string, args: ArgsDef): boolean => {
-	const name = getName(argument);
+	const name = getFlagName(argument);
 	const isFlag = (flag: string): boolean => args[flag] !== undefined && args[flag].type !== 'positional';
 	return Object.keys(args).some(flag => isFlag(flag) && (flag === name || toCamelCase(flag) === name));
 };
 
 const takesValue = (argument: string, args: ArgsDef): boolean =>
-	!argument.includes('=') && args[getName(argument)]?.type === 'string';
+	!argument.includes('=') && args[getFlagName(argument)]?.type === 'string';
 
-/** Gets what is wrong with the arguments of a command: unknown flags, flags without a value, too many words. */
-export const getArgumentFaults = ({rest, args}: Found): string[] => {
-	const faults: string[] = [];
-	const words: string[] = [];
+/** Returns the errors in the arguments of a command: unknown flags, flags without a value, missing and unexpected positional arguments. */
+export const getArgumentErrors = ({rest, args}: FoundCommand): string[] => {
+	const errors: string[] = [];
+	const values: string[] = [];
 	for (let index = 0; index < rest.length; index++) {
 		const argument = rest[index] ?? '';
 		if (!argument.startsWith('-') || argument === '-') {
-			words.push(argument);
+			values.push(argument);
 			continue;
 		}
 
 		if (!isKnown(argument, args)) {
-			faults.push(`Unknown flag ${argument}.`);
+			errors.push(`Unknown flag ${argument}.`);
 		} else if (takesValue(argument, args)) {
 			index++;
 			if (rest[index] === undefined || rest[index]?.startsWith('--') === true) {
-				faults.push(`${argument} needs a value.`);
+				errors.push(`${argument} needs a value.`);
 			}
 		}
 	}
 
 	const positionals = Object.keys(args).filter(name => args[name]?.type === 'positional');
-	const missing = positionals.slice(words.length).map(name => `${name.toUpperCase()} is missing.`);
-	const excess = words.slice(positionals.length).map(word => `Unknown argument ${word}.`);
-	return [...faults, ...missing, ...excess];
+	const missing = positionals.slice(values.length).map(name => `${name.toUpperCase()} is missing.`);
+	const unexpected = values.slice(positionals.length).map(value => `Unknown argument ${value}.`);
+	return [...errors, ...missing, ...unexpected];
 };
--- a/packages/cli/src/host-status.ts
+++ b/packages/cli/src/host-status.ts
@@ -2,7 +2,7 @@
 import type {Session} from './session.js';
 import type {OperatorTarget} from './targets.js';
 
-/** What a host says of itself, or that it can't be reached. */
+/** Status that a host reports; only `host` and `state` are set if the host gave none. */
 export type HostStatus = {
 	host: string;
 	zone?: string;
@@ -12,7 +12,7 @@
 	confirmed?: boolean;
 	waiting?: number;
 	running?: number;
-	/** Delay of the event loop in milliseconds. */
+	/** Event loop lag in milliseconds. */
 	lag?: number;
 };
 
@@ -27,7 +27,7 @@
 	eventLoopLag: z.number(),
 });
 
-/** Reads the status of a host. */
+/** Reads the status of a host from its operator listener. */
 export const readHostStatus = async ({call}: Session, target: OperatorTarget): Promise<HostStatus> => {
 	const outcome = await call(target, {method: 'GET', path: '/operator/status'});
 	if (outcome.kind === 'unreachable') {
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -2,23 +2,23 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {OperatorTarget} from './targets.js';
 
-/** A call of a host's operators' listener. */
+/** Call to the operator listener of a host. */
 export type OperatorCall = {method: 'GET' | 'POST'; path: string; body?: unknown};
 
-/** Outcome of a call. */
+/** Outcome of a call to an operator listener; the body is text if it isn't JSON. */
 export type OperatorOutcome
 	= | {kind: 'answered'; status: number; body: unknown}
 		| {kind: 'unreachable'; reason: string};
 
-/** Calls a host; never throws. */
+/** Calls the operator listener of a host; never rejects. */
 export type OperatorClient = (target: OperatorTarget, call: OperatorCall) => Promise<OperatorOutcome>;
 
 const timeout: Milliseconds = 3000;
 
-const readBody = async (message: IncomingMessage): Promise<unknown> => {
+const readBody = async (response: IncomingMessage): Promise<unknown> => {
 	let text = '';
-	for await (const part of message) {
-		text += String(part);
+	for await (const chunk of response) {
+		text += String(chunk);
 	}
 
 	try {
@@ -28,27 +28,27 @@
 	}
 };
 
-/** Calls a host's operators' listener over HTTP. */
+/** Calls the operator listener of a host over HTTP. */
 export const callOperator: OperatorClient = async ({address}, {method, path, body}) => new Promise(resolve => {
 	const text = body === undefined ? '' : JSON.stringify(body);
-	const call = request(`http://${address}${path}`, {
+	const clientRequest = request(`http://${address}${path}`, {
 		method, agent: false, signal: AbortSignal.timeout(timeout), headers: {'content-type': 'application/json'},
 	});
 	const fail = (error: unknown): void => {
 		resolve({kind: 'unreachable', reason: error instanceof Error ? error.message : String(error)});
 	};
 
-	const answer = async (message: IncomingMessage): Promise<void> => {
+	const resolveResponse = async (response: IncomingMessage): Promise<void> => {
 		try {
-			resolve({kind: 'answered', status: message.statusCode ?? 0, body: await readBody(message)});
+			resolve({kind: 'answered', status: response.statusCode ?? 0, body: await readBody(response)});
 		} catch (error) {
 			fail(error);
 		}
 	};
 
-	call.on('error', fail);
-	call.on('response', message => {
-		void answer(message);
+	clientRequest.on('error', fail);
+	clientRequest.on('response', response => {
+		void resolveResponse(response);
 	});
-	call.end(text);
+	clientRequest.end(text);
 });
--- a/packages/cli/src/queries/check.ts
+++ b/packages/cli/src/queries/check.ts
@@ -1,12 +1,12 @@
 import {isVersionDocument, parseConfiguration, type Parsed} from '@gentianlift/config';
 import type {Configuration} from '@gentianlift/types';
-import {createFaulty, createOk, type Result} from '../result.js';
+import {createInvalidFileFailure, createSuccess, type Result} from '../result.js';
 import type {Session} from '../session.js';
 
-/** A configuration read from a file, and the version it was made from if the file tells. */
-export type ReadConfiguration = {kind: 'read'; configuration: Configuration; base?: number} | {kind: 'failed'; result: Result};
+/** Configuration read from a file, with its base version if the file names one. */
+export type ConfigurationReading = {kind: 'read'; configuration: Configuration; base?: number} | {kind: 'failed'; result: Result};
 
-const getBare = (document: unknown): {document: unknown; base?: number} => {
+const unwrapVersion = (document: unknown): {document: unknown; base?: number} => {
 	if (!isVersionDocument(document)) {
 		return {document};
 	}
@@ -15,23 +15,23 @@
 	return typeof version === 'number' ? {document: configuration, base: version} : {document: configuration};
 };
 
-/** Reads a file that holds a configuration, bare or as `config show --json` prints it. */
-export const readConfigurationFile = async (session: Session, file: string): Promise<ReadConfiguration> => {
+/** Reads a file that holds a configuration alone, or a whole version as `config show --json` prints it. */
+export const readConfigurationFile = async (session: Session, file: string): Promise<ConfigurationReading> => {
 	const read = await session.readDocument(file);
 	if (read.kind === 'failed') {
 		return read;
 	}
 
-	const {document, base} = getBare(read.document);
+	const {document, base} = unwrapVersion(read.document);
 	const parsed: Parsed<Configuration> = parseConfiguration(document);
 	if (parsed.kind === 'invalid') {
-		return {kind: 'failed', result: createFaulty(file, parsed.faults)};
+		return {kind: 'failed', result: createInvalidFileFailure(file, parsed.faults)};
 	}
 
 	return base === undefined ? {kind: 'read', configuration: parsed.value} : {kind: 'read', configuration: parsed.value, base};
 };
 
-const getSummary = ({inventory, rules}: Configuration): string => [
+const formatSummary = ({inventory, rules}: Configuration): string => [
 	`${inventory.engines.length} engines`,
 	`${inventory.models.length} models`,
 	`${inventory.adapters.length} adapters`,
@@ -41,8 +41,8 @@
 	`${rules.classes.length} classes`,
 ].join(', ');
 
-/** Checks a file without any call. */
+/** Validates a configuration file without network calls. */
 export const checkFile = async (session: Session, file: string): Promise<Result> => {
 	const read = await readConfigurationFile(session, file);
-	return read.kind === 'failed' ? read.result : createOk([`${file} is valid: ${getSummary(read.configuration)}.`], {valid: true});
+	return read.kind === 'failed' ? read.result : createSuccess([`${file} is valid: ${formatSummary(read.configuration)}.`], {valid: true});
 };
--- a/packages/cli/src/queries/configuration.ts
+++ b/packages/cli/src/queries/configuration.ts
@@ -4,49 +4,49 @@
 } from '@gentianlift/distribution';
 import type {ConfigurationVersion} from '@gentianlift/types';
 import {exitCodes} from '../exit-codes.js';
-import {createFailed, createOk, type Result} from '../result.js';
-import {missingUrl, type Session} from '../session.js';
+import {createFailure, createSuccess, type Result} from '../result.js';
+import {missingKeyValueUrlMessage, type Session} from '../session.js';
 import {formatTable} from '../table.js';
 import {readConfigurationFile} from './check.js';
 
-/** Gets the result that tells why a version can't be shown. */
-export const getReadFailure = (reading: Exclude<VersionReading, {kind: 'found'}>, name: string): Result => {
+/** Creates the result of a command that could not read a version. */
+export const createReadFailure = (reading: Exclude<VersionReading, {kind: 'found'}>, name: string): Result => {
 	switch (reading.kind) {
 		case 'absent': {
-			return createFailed(exitCodes.failed, `There is no ${name}.`);
+			return createFailure(exitCodes.failed, `There is no ${name}.`);
 		}
 
 		case 'unavailable': {
-			return createFailed(exitCodes.unavailable, `The key-value service can't be read: ${reading.reason}`);
+			return createFailure(exitCodes.unavailable, `The key-value service can't be read: ${reading.reason}`);
 		}
 	}
 };
 
-const getHead = ({version, author, acceptedAt, note}: ConfigurationVersion) =>
+const getVersionSummary = ({version, author, acceptedAt, note}: ConfigurationVersion) =>
 	({
 		version, accepted: new Date(acceptedAt).toISOString(), author, note,
 	});
 
-/** Shows the newest version or one of the history; the text holds the whole version, so that a file of it can be edited and published. */
+/** Shows the current version or an older one. Prints the whole version, so that its output can be saved, edited and published. */
 export const showConfiguration = async ({keyValue}: Session, version: number | undefined): Promise<Result> => {
 	if (keyValue === undefined) {
-		return createFailed(exitCodes.usage, missingUrl);
+		return createFailure(exitCodes.usage, missingKeyValueUrlMessage);
 	}
 
 	const reading = version === undefined ? await readCurrentVersion(keyValue) : await readVersion(keyValue, version);
 	if (reading.kind !== 'found') {
-		return getReadFailure(reading, version === undefined ? 'accepted version yet' : `version ${version}`);
+		return createReadFailure(reading, version === undefined ? 'accepted version yet' : `version ${version}`);
 	}
 
 	const shown = reading.stored.version;
-	return createOk([JSON.stringify(shown, undefined, '\t')], shown);
+	return createSuccess([JSON.stringify(shown, undefined, '\t')], shown);
 };
 
-/** Shows how a file differs from the newest version. */
+/** Shows how a file differs from the current version. */
 export const diffFile = async (session: Session, file: string): Promise<Result> => {
 	const {keyValue} = session;
 	if (keyValue === undefined) {
-		return createFailed(exitCodes.usage, missingUrl);
+		return createFailure(exitCodes.usage, missingKeyValueUrlMessage);
 	}
 
 	const read = await readConfigurationFile(session, file);
@@ -56,27 +56,27 @@
 
 	const reading = await readCurrentVersion(keyValue);
 	if (reading.kind !== 'found') {
-		return getReadFailure(reading, 'accepted version yet');
+		return createReadFailure(reading, 'accepted version yet');
 	}
 
 	const {version, configuration} = reading.stored.version;
 	const changes = getDifference(configuration, read.configuration);
-	const head = changes.length === 0 ? `${file} is the same as version ${version}.` : `${file} differs from version ${version}:`;
-	return createOk([head, ...changes.map(change => `  ${formatChange(change)}`)], {version, changes});
+	const headline = changes.length === 0 ? `${file} is the same as version ${version}.` : `${file} differs from version ${version}:`;
+	return createSuccess([headline, ...changes.map(change => `  ${formatChange(change)}`)], {version, changes});
 };
 
 /** Lists the newest versions. */
 export const listHistory = async ({keyValue}: Session, count: number): Promise<Result> => {
 	if (keyValue === undefined) {
-		return createFailed(exitCodes.usage, missingUrl);
+		return createFailure(exitCodes.usage, missingKeyValueUrlMessage);
 	}
 
 	const readings = await readHistory(keyValue, count);
 	const failed = readings.find(reading => reading.kind === 'unavailable');
 	if (failed !== undefined) {
-		return getReadFailure(failed, 'history');
+		return createReadFailure(failed, 'history');
 	}
 
-	const heads = readings.flatMap(reading => reading.kind === 'found' ? [getHead(reading.stored.version)] : []);
-	return createOk(formatTable(heads, ['version', 'accepted', 'author', 'note']), heads);
+	const summaries = readings.flatMap(reading => reading.kind === 'found' ? [getVersionSummary(reading.stored.version)] : []);
+	return createSuccess(formatTable(summaries, ['version', 'accepted', 'author', 'note']), summaries);
 };
--- a/packages/cli/src/queries/fleet.ts
+++ b/packages/cli/src/queries/fleet.ts
@@ -1,20 +1,20 @@
 import {z} from 'zod';
-import {askAnyHost} from '../ask.js';
+import {callAnyHost} from '../ask.js';
 import {exitCodes} from '../exit-codes.js';
 import {readHostStatuses} from '../host-status.js';
-import {createFailed, createOk, type Result} from '../result.js';
-import {missingOperators, type Session} from '../session.js';
+import {createFailure, createSuccess, type Result} from '../result.js';
+import {missingOperatorsMessage, type Session} from '../session.js';
 import {formatTable} from '../table.js';
 
-/** Shows what each host says of itself. */
+/** Shows the status that each host reports. */
 export const showStatus = async (session: Session): Promise<Result> => {
 	if (session.operators.length === 0) {
-		return createFailed(exitCodes.usage, missingOperators);
+		return createFailure(exitCodes.usage, missingOperatorsMessage);
 	}
 
 	const statuses = await readHostStatuses(session);
 	const reached = statuses.filter(({version}) => version !== undefined).length;
-	const result = createOk(formatTable(statuses, ['host', 'zone', 'state', 'ready', 'version', 'confirmed', 'waiting', 'running', 'lag']), statuses);
+	const result = createSuccess(formatTable(statuses, ['host', 'zone', 'state', 'ready', 'version', 'confirmed', 'waiting', 'running', 'lag']), statuses);
 	if (reached === 0) {
 		return {...result, exitCode: exitCodes.unavailable};
 	}
@@ -22,33 +22,33 @@
 	return reached < statuses.length ? {...result, exitCode: exitCodes.failed} : result;
 };
 
-const row = z.record(z.string(), z.unknown());
+const rowSchema = z.record(z.string(), z.unknown());
 
 const showList = async (session: Session, field: 'hosts' | 'upstreams', columns: string[]): Promise<Result> => {
-	const asked = await askAnyHost(session, {method: 'GET', path: `/operator/${field}`});
-	if (asked.kind === 'failed') {
-		return asked.result;
+	const answer = await callAnyHost(session, {method: 'GET', path: `/operator/${field}`});
+	if (answer.kind === 'failed') {
+		return answer.result;
 	}
 
-	const parsed = z.record(z.string(), z.array(row)).safeParse(asked.body);
+	const parsed = z.record(z.string(), z.array(rowSchema)).safeParse(answer.body);
 	const rows = parsed.success ? parsed.data[field] : undefined;
 	if (rows === undefined) {
-		return createFailed(exitCodes.failed, `${asked.target.host} answered without a list of ${field}.`);
+		return createFailure(exitCodes.failed, `${answer.target.host} answered without a list of ${field}.`);
 	}
 
-	return createOk([`As ${asked.target.host} sees them:`, ...formatTable(rows, columns)], rows);
+	return createSuccess([`As ${answer.target.host} sees them:`, ...formatTable(rows, columns)], rows);
 };
 
-/** Lists the hosts as one of them sees them. */
+/** Lists the hosts in the view of the first host that answers. */
 export const showHosts = async (session: Session): Promise<Result> =>
 	showList(session, 'hosts', ['host', 'zone', 'state', 'incarnation', 'callerAddress', 'configurationVersion', 'load']);
 
-/** Lists the upstreams as one of the hosts sees them. */
+/** Lists the upstreams in the view of the first host that answers. */
 export const showUpstreams = async (session: Session): Promise<Result> =>
 	showList(session, 'upstreams', ['id', 'zone', 'group', 'owner', 'standing', 'running', 'waiting']);
 
-/** Shows the account of a request. */
+/** Shows the record of a request that a host keeps. */
 export const showRequest = async (session: Session, id: string): Promise<Result> => {
-	const asked = await askAnyHost(session, {method: 'GET', path: `/operator/requests/${encodeURIComponent(id)}`});
-	return asked.kind === 'failed' ? asked.result : createOk([JSON.stringify(asked.body, undefined, '\t')], asked.body);
+	const answer = await callAnyHost(session, {method: 'GET', path: `/operator/requests/${encodeURIComponent(id)}`});
+	return answer.kind === 'failed' ? answer.result : createSuccess([JSON.stringify(answer.body, undefined, '\t')], answer.body);
 };
--- a/packages/cli/src/run.test.ts
+++ b/packages/cli/src/run.test.ts
@@ -3,18 +3,18 @@
 import type {Configuration} from '@gentianlift/types';
 import {expect, test} from 'vitest';
 import {createFakeEnvironment} from './fake-environment.js';
-import {exitCodes, runCommandLine, type Run} from './index.js';
+import {exitCodes, runCommandLine, type CommandOutput} from './index.js';
 
-const kopi = readFileSync(new URL('../../../examples/kopi.json', import.meta.url), 'utf8');
+const kopiText = readFileSync(new URL('../../../examples/kopi.json', import.meta.url), 'utf8');
 
 const createShell = () => {
 	const clock = createManualClock();
 	const environment = createFakeEnvironment(clock);
-	environment.files.set('kopi.json', kopi);
-	const run = async (line: string): Promise<Run> => {
+	environment.files.set('kopi.json', kopiText);
+	const run = async (line: string): Promise<CommandOutput> => {
 		const outcome = runCommandLine(line.split(' '), environment);
 		for (let round = 0; round < 100; round++) {
-			// eslint-disable-next-line no-await-in-loop -- Each round lets the command reach its next wait.
+			// eslint-disable-next-line no-await-in-loop -- Each round lets the command run up to its next sleep.
 			await clock.advance(250);
 		}
 
@@ -28,7 +28,7 @@
 	};
 
 	const edit = (file: string, slots: number): void => {
-		const configuration = JSON.parse(kopi) as Configuration;
+		const configuration = JSON.parse(kopiText) as Configuration;
 		configuration.inventory.engines[0]!.slots = slots;
 		environment.files.set(file, JSON.stringify(configuration));
 	};
@@ -38,7 +38,7 @@
 	};
 };
 
-test('checks a file and tells all faults', async () => {
+test('checks a file and reports all its errors', async () => {
 	const {environment, run} = createShell();
 	expect(await run('config check kopi.json')).toMatchObject({exitCode: exitCodes.ok, output: expect.stringContaining('12 engines') as string});
 	environment.files.set('bad.json', '{"inventory": {}}');
@@ -48,7 +48,7 @@
 	expect(errors).toContain('$.rules: found nothing');
 });
 
-test('publishes and tells where the version is in force', async () => {
+test('publishes and reports the hosts that have not confirmed the version', async () => {
 	const {environment, run, setVersion} = createShell();
 	setVersion(1);
 	environment.hosts.get('h2')!.version = 0;
@@ -61,7 +61,7 @@
 	expect(await run('config publish kopi.json')).toMatchObject({exitCode: exitCodes.ok, output: expect.stringContaining('Version 1 is the same already.') as string});
 });
 
-test('shows a conflict as a difference, and publishes on its base', async () => {
+test('reports a conflict with the differences, and publishes on the current base', async () => {
 	const {run, setVersion, edit} = createShell();
 	setVersion(9);
 	await run('config publish kopi.json');
@@ -77,7 +77,7 @@
 	expect(JSON.parse(history.output)).toMatchObject([{version: 4, note: 'back to version 2'}, {version: 3}, {version: 2}, {version: 1}]);
 });
 
-test('takes the base from a file that was shown', async () => {
+test('takes the base version from a file that config show printed', async () => {
 	const {environment, run, setVersion, edit} = createShell();
 	setVersion(9);
 	await run('config publish kopi.json');
@@ -89,7 +89,7 @@
 	expect(await run('config publish shown.json')).toMatchObject({exitCode: exitCodes.conflict});
 });
 
-test('tells an outage from an unknown outcome', async () => {
+test('distinguishes an outage from an unknown outcome', async () => {
 	const {environment, run} = createShell();
 	environment.service.setFaults({outage: true});
 	expect(await run('config publish kopi.json')).toMatchObject({exitCode: exitCodes.unavailable, errors: expect.stringContaining('Not published') as string});
@@ -101,7 +101,7 @@
 	expect(await run('config publish kopi.json')).toMatchObject({exitCode: exitCodes.unavailable, errors: expect.stringContaining('Unknown') as string});
 });
 
-test('asks the next host when one is not reached', async () => {
+test('calls the next host when one is unreachable', async () => {
 	const {environment, run} = createShell();
 	environment.hosts.get('h1')!.isReachable = false;
 	expect(await run('requests show h1.1.7')).toMatchObject({exitCode: exitCodes.ok});
@@ -124,12 +124,12 @@
 	'drain h9',
 	'config history --limit x',
 	'status --settings none.json',
-])('refuses "%s" as wrong usage', async line => {
+])('rejects "%s" as wrong usage', async line => {
 	const {run} = createShell();
 	expect(await run(line)).toMatchObject({exitCode: exitCodes.usage, output: ''});
 });
 
-test.each(['--help', 'config --help', 'config publish --help'])('helps with "%s"', async line => {
+test.each(['--help', 'config --help', 'config publish --help'])('prints the usage for "%s"', async line => {
 	const {run} = createShell();
 	const {exitCode, output} = await run(line);
 	expect(exitCode).toBe(exitCodes.ok);
--- a/packages/cli/src/run.ts
+++ b/packages/cli/src/run.ts
@@ -1,28 +1,28 @@
 import {renderUsage, runCommand} from 'citty';
-import {createMainCommand, type Runner} from './definitions.js';
+import {createMainCommand, type SessionRunner} from './definitions.js';
 import type {Environment} from './environment.js';
 import {exitCodes, type ExitCode} from './exit-codes.js';
-import {findCommand, getArgumentFaults, type Found} from './find-command.js';
+import {findCommand, getArgumentErrors, type FoundCommand} from './find-command.js';
 import type {Result} from './result.js';
-import {createUsageFailure, openSession} from './session.js';
+import {createUsageError, openSession} from './session.js';
 
-/** What a run of the command line prints, and its exit code. */
-export type Run = {exitCode: ExitCode; output: string; errors: string};
+/** Exit code of the command line and what it prints on standard output and standard error. */
+export type CommandOutput = {exitCode: ExitCode; output: string; errors: string};
 
 const programName = 'gentianlift';
 const helpFlags = new Set(['--help', '-h']);
-// eslint-disable-next-line no-control-regex -- The colours that citty puts into its help aren't wanted in files and pipes.
-const colours = /\u001B\[\d+m/gv;
+// eslint-disable-next-line no-control-regex -- citty colours its help text even where the output is a file or a pipe, so the escape codes are removed.
+const colourCodes = /\u001B\[\d+m/gv;
 
-const getText = (value: unknown): string | undefined => typeof value === 'string' ? value : undefined;
+const getString = (value: unknown): string | undefined => typeof value === 'string' ? value : undefined;
 
-const createRunner = (environment: Environment, finish: (result: Result) => void): Runner => async (args, run) => {
+const createRunner = (environment: Environment, finish: (result: Result) => void): SessionRunner => async (args, run) => {
 	const flags = {
-		settings: getText(args.settings), keyValueUrl: getText(args['key-value-url']), operators: getText(args.operators),
+		settings: getString(args.settings), keyValueUrl: getString(args['key-value-url']), operators: getString(args.operators),
 	};
 	const session = await openSession(environment, flags);
 	if (session.kind === 'invalid') {
-		finish(createUsageFailure(session.faults));
+		finish(createUsageError(session.faults));
 		return;
 	}
 
@@ -33,29 +33,29 @@
 	}
 };
 
-const getHelp = async ({command, path}: Found): Promise<string> => {
+const getHelp = async ({command, path}: FoundCommand): Promise<string> => {
 	const parent = {meta: {name: [programName, ...path.slice(0, -1)].join(' ')}};
 	const usage = path.length === 0 ? await renderUsage(command) : await renderUsage(command, parent);
-	return `${usage.replaceAll(colours, '').trimEnd()}\n`;
+	return `${usage.replaceAll(colourCodes, '').trimEnd()}\n`;
 };
 
-const formatResult = ({exitCode, lines, data}: Result, isJson: boolean): Run => {
+const formatResult = ({exitCode, lines, data}: Result, isJson: boolean): CommandOutput => {
 	const text = isJson ? `${JSON.stringify(data)}\n` : `${lines.join('\n')}\n`;
 	const isError = exitCode !== exitCodes.ok && !isJson;
 	return {exitCode, output: isError ? '' : text, errors: isError ? text : ''};
 };
 
-const getUsageErrors = (found: Found): string[] => {
+const getUsageErrors = (found: FoundCommand): string[] => {
 	if (!found.hasSubCommands) {
-		return getArgumentFaults(found);
+		return getArgumentErrors(found);
 	}
 
-	const [word] = found.rest;
-	return [word === undefined ? 'A command is missing.' : `Unknown command or flag ${word}.`];
+	const [argument] = found.rest;
+	return [argument === undefined ? 'A command is missing.' : `Unknown command or flag ${argument}.`];
 };
 
-/** Runs the command line with the given arguments. */
-export const runCommandLine = async (rawArgs: string[], environment: Environment): Promise<Run> => {
+/** Parses the arguments and runs the command that they name. */
+export const runCommandLine = async (rawArgs: string[], environment: Environment): Promise<CommandOutput> => {
 	let result: Result | undefined;
 	const main = createMainCommand(createRunner(environment, finished => {
 		result = finished;
--- a/packages/cli/src/session.ts
+++ b/packages/cli/src/session.ts
@@ -4,40 +4,40 @@
 import type {Environment} from './environment.js';
 import {exitCodes} from './exit-codes.js';
 import type {OperatorCall, OperatorOutcome} from './operator-client.js';
-import {createFailed, createFaulty, type Result} from './result.js';
+import {createFailure, createInvalidFileFailure, type Result} from './result.js';
 import {mergeTargets, type OperatorTarget, type TargetFlags} from './targets.js';
 
-/** What a command works with. */
+/** Dependencies of a command. */
 export type Session = {
 	clock: Clock;
 	author: string;
 	createToken: () => string;
 	operators: OperatorTarget[];
-	/** Undefined if no URL was given. */
+	/** Undefined if no URL of the key-value service was given. */
 	keyValue?: KeyValueService;
 	call: (target: OperatorTarget, call: OperatorCall) => Promise<OperatorOutcome>;
-	/** Reads a JSON file, or gives the result that tells what is wrong with it. */
+	/** Reads a JSON file; returns a failed result if it can't be read or parsed. */
 	readDocument: (file: string) => Promise<{kind: 'read'; document: unknown} | {kind: 'failed'; result: Result}>;
 	close: () => void;
 };
 
-/** Message for a command that needs the key-value service. */
-export const missingUrl = 'The URL of the key-value service is missing: give --key-value-url, GENTIANLIFT_KEY_VALUE_URL or keyValueUrl in --settings.';
+/** Error message of commands that need the key-value service. */
+export const missingKeyValueUrlMessage = 'The URL of the key-value service is missing: give --key-value-url, GENTIANLIFT_KEY_VALUE_URL or keyValueUrl in --settings.';
 
-/** Message for a command that needs the hosts. */
-export const missingOperators = 'The operators\' addresses of the hosts are missing: give --operators, GENTIANLIFT_OPERATORS or operators in --settings.';
+/** Error message of commands that need the hosts. */
+export const missingOperatorsMessage = 'The operators\' addresses of the hosts are missing: give --operators, GENTIANLIFT_OPERATORS or operators in --settings.';
 
-const createReadDocument = ({readFile}: Environment): Session['readDocument'] => async file => {
+const createDocumentReader = ({readFile}: Environment): Session['readDocument'] => async file => {
 	const text = await readFile(file);
 	if (text === undefined) {
-		return {kind: 'failed', result: createFailed(exitCodes.usage, `${file} can't be read.`)};
+		return {kind: 'failed', result: createFailure(exitCodes.usage, `${file} can't be read.`)};
 	}
 
 	const parsed = parseJson(text);
-	return parsed.kind === 'valid' ? {kind: 'read', document: parsed.value} : {kind: 'failed', result: createFaulty(file, parsed.faults)};
+	return parsed.kind === 'valid' ? {kind: 'read', document: parsed.value} : {kind: 'failed', result: createInvalidFileFailure(file, parsed.faults)};
 };
 
-/** Opens a session from flags, environment and settings file. */
+/** Opens a session from the flags, the environment variables and the settings file. */
 export const openSession = async (environment: Environment, flags: TargetFlags): Promise<Parsed<Session>> => {
 	const {variables, clock, createToken, createKeyValue, callOperator} = environment;
 	const path = flags.settings ?? variables.GENTIANLIFT_SETTINGS;
@@ -59,7 +59,7 @@
 		createToken,
 		operators,
 		call: callOperator,
-		readDocument: createReadDocument(environment),
+		readDocument: createDocumentReader(environment),
 		close() {
 			keyValue?.close();
 		},
@@ -67,6 +67,6 @@
 	return {kind: 'valid', value: keyValue === undefined ? session : {...session, keyValue}};
 };
 
-/** Creates the result for settings of the command line that are wrong. */
-export const createUsageFailure = (faults: Array<Parameters<typeof formatDiagnostic>[0]>): Result =>
-	createFailed(exitCodes.usage, faults.map(fault => formatDiagnostic(fault)).join('\n'));
+/** Creates the result for invalid flags, environment variables or settings. */
+export const createUsageError = (faults: Array<Parameters<typeof formatDiagnostic>[0]>): Result =>
+	createFailure(exitCodes.usage, faults.map(fault => formatDiagnostic(fault)).join('\n'));
