--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -1,4 +1,4 @@
-import {callAnyHost, callHost} from '../ask.js';
+import {callAnyHost, callHost} from '../call-host.js';
 import {exitCodes} from '../exit-codes.js';
 import {createFailure, createSuccess, type Result} from '../result.js';
 import type {Session} from '../session.js';
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -8,7 +8,7 @@
 import {createFailure, createInvalidFileFailure, type Result} from '../result.js';
 import {missingKeyValueUrlMessage, type Session} from '../session.js';
 import {formatTable} from '../table.js';
-import {waitUntilInForce} from './wait-in-force.js';
+import {waitUntilInForce} from './wait-until-in-force.js';
 
 /** Options of a publication that the operator gives as flags. */
 export type PublishFlags = {base?: number; note: string; author?: string};
--- a/packages/cli/src/queries/fleet.ts
+++ b/packages/cli/src/queries/fleet.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {callAnyHost} from '../ask.js';
+import {callAnyHost} from '../call-host.js';
 import {exitCodes} from '../exit-codes.js';
 import {readHostStatuses} from '../host-status.js';
 import {createFailure, createSuccess, type Result} from '../result.js';
