--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -3,13 +3,13 @@
 import process from 'node:process';
 import {createSystemClock} from '@gentianlift/clock';
 import {createKeyValueClient} from '@gentianlift/platform';
-import type {Milliseconds} from '@gentianlift/types';
 import type {Environment} from './environment.js';
 import {callOperator} from './operator-client.js';
 import {runCommandLine} from './run.js';
 
 const clock = createSystemClock();
-const timeout: Milliseconds = 2500;
+/** Timeout of a call to the key-value service, in milliseconds. */
+const timeout = 2500;
 
 const environment: Environment = {
 	clock,
