--- a/packages/model/src/claims/replay.ts
+++ b/packages/model/src/claims/replay.ts
@@ -2,31 +2,31 @@
 import {claimLimits, createClaimOwner, type ClaimOwner} from '@gentianlift/claims';
 import {createMetrics} from '@gentianlift/metrics';
 import type {ClaimOutcome, KeyValueService, WriteOutcome} from '@gentianlift/types';
-import type {ClaimEvent} from './claims.js';
+import type {ClaimEvent} from './specification.js';
 import type {
-	ClaimRecord, Message, Reply, Settled, State,
+	ClaimRecord, Message, Reply, SettledOutcome, State,
 } from './state.js';
 
-type Swap = Parameters<KeyValueService['compareAndSwap']>[0];
-type Call
+type CompareAndSwap = Parameters<KeyValueService['compareAndSwap']>[0];
+type ServiceCall
 	= | {kind: 'read'; resolve: (outcome: Awaited<ReturnType<KeyValueService['read']>>) => void}
-		| {kind: 'write'; swap: Swap; resolve: (outcome: WriteOutcome) => void};
+		| {kind: 'write'; swap: CompareAndSwap; resolve: (outcome: WriteOutcome) => void};
 type StoredClaim = {request: string; givenUp?: string[]; outcome: {kind: ClaimRecord['outcome']}};
-type Flight = {call: Extract<Call, {kind: 'write'}>; outcome?: WriteOutcome};
-type Host = {owner: ClaimOwner; call?: Call | undefined; flight?: Flight | undefined};
+type InFlightWrite = {call: Extract<ServiceCall, {kind: 'write'}>; outcome?: WriteOutcome};
+type Host = {owner: ClaimOwner; call?: ServiceCall | undefined; inFlightWrite?: InFlightWrite | undefined};
 
-/** The claims code driven by the events of the specification. */
+/** The code of the claims package, driven by the events of a trace. */
 export type Replay = {
 	apply: (event: ClaimEvent, before: State, after: State) => Promise<void>;
-	/** Claim of the key as the service holds it. */
+	/** Returns the claim of the key that the key-value service stores. */
 	getClaim: () => ClaimRecord | undefined;
-	/** Every decision that the code gave. */
+	/** All decisions that the code has returned. */
 	replies: Reply[];
 };
 
 const key = {customer: 'customer', key: 'key'};
 const flushRounds = 5;
-const longestBackoff = 1000;
+const maxBackoff = 1000;
 const limits = {
 	...claimLimits, writeInterval: 0, claimTimeout: Number.MAX_SAFE_INTEGER, settleTimeout: Number.MAX_SAFE_INTEGER,
 };
@@ -35,19 +35,19 @@
 
 const getAttempt = (request: string): number => Number(request.split('.').at(-1));
 
-const outcomeOfSettled = {
+const claimOutcomes = {
 	finished: {kind: 'finished', status: 200}, 'not-run': {kind: 'not-run'}, unknown: {kind: 'unknown', reason: 'cut'},
-} as const satisfies Record<Settled, ClaimOutcome>;
+} as const satisfies Record<SettledOutcome, ClaimOutcome>;
 
-/** Creates the code of two hosts on a service that answers when the specification says so. */
+/** Creates the claim owners of two hosts, on a fake key-value service that answers when an event of the trace says so. */
 export const createReplay = (): Replay => {
 	const clock: ManualClock = createManualClock();
-	const store = {revision: 0, value: undefined as string | undefined};
-	const flights = new Map<number, Flight>();
+	const storedSlot = {revision: 0, value: undefined as string | undefined};
+	const inFlightWrites = new Map<number, InFlightWrite>();
 	const replies: Reply[] = [];
-	let view: State | undefined;
+	let currentState: State | undefined;
 
-	const flush = async (): Promise<void> => {
+	const flushPromises = async (): Promise<void> => {
 		for (let round = 0; round < flushRounds; round++) {
 			// eslint-disable-next-line no-await-in-loop -- Each round lets promises settle.
 			await clock.advance(0);
@@ -60,13 +60,13 @@
 			read: async () => new Promise(resolve => {
 				host.call = {kind: 'read', resolve};
 			}),
-			compareAndSwap: async (swap: Swap) => new Promise(resolve => {
+			compareAndSwap: async (swap: CompareAndSwap) => new Promise(resolve => {
 				host.call = {kind: 'write', swap, resolve};
 			}),
 		} as unknown as KeyValueService;
 		host.owner = createClaimOwner({
 			clock, random: createRandom(1), metrics: createMetrics(), keyValue, limits,
-			isGone: (name, run) => (view?.crashes[Number(name)] ?? 0) >= run,
+			isGone: (name, incarnation) => (currentState?.crashes[Number(name)] ?? 0) >= incarnation,
 		});
 		return host as Host;
 	};
@@ -77,14 +77,14 @@
 		const host = hosts[to]!;
 		const request = getRequestId(operation.attempt);
 		if (operation.kind === 'settle') {
-			void host.owner.settle('', {key, request, outcome: outcomeOfSettled[operation.outcome]});
+			void host.owner.settle('', {key, request, outcome: claimOutcomes[operation.outcome]});
 			return;
 		}
 
-		const {host: name, run} = attempts[operation.attempt]!;
+		const {host: name, incarnation} = attempts[operation.attempt]!;
 		void (async () => {
 			const decision = await host.owner.claim('', {
-				key, digest: 'digest', request, host: String(name), incarnation: run,
+				key, digest: 'digest', request, host: String(name), incarnation,
 			});
 			if (decision.kind === 'start' || decision.kind === 'in-progress' || decision.kind === 'done' || decision.kind === 'unknown') {
 				replies.push({attempt: operation.attempt, decision: decision.kind});
@@ -92,9 +92,9 @@
 		})();
 	};
 
-	/** Answers a read, or rejects a write from an old state. */
-	const answerCall = async (host: Host, call: Call): Promise<void> => {
-		const {revision, value} = store;
+	/** Answers a read, or rejects a write that expects an older revision. */
+	const answerCall = async (host: Host, call: ServiceCall): Promise<void> => {
+		const {revision, value} = storedSlot;
 		host.call = undefined;
 		if (call.kind === 'read') {
 			call.resolve(value === undefined ? {kind: 'absent'} : {kind: 'found', entry: {key: '', value, revision}});
@@ -102,12 +102,12 @@
 			call.resolve({kind: 'rejected', revision});
 		}
 
-		await clock.advance(longestBackoff);
+		await clock.advance(maxBackoff);
 	};
 
-	const isCurrentWrite = (call: Call): boolean => call.kind === 'write' && call.swap.expected === store.revision;
+	const isCurrentWrite = (call: ServiceCall): boolean => call.kind === 'write' && call.swap.expected === storedSlot.revision;
 
-	/** Takes one step of the writer: the code may have answered already from an outcome that is final. */
+	/** Lets the writer of a host run up to its next write. The code may need no write, as it answers at once if it knows a final outcome. */
 	const step = async (host: Host, id: number | undefined): Promise<void> => {
 		for (let {call} = host; call !== undefined && !isCurrentWrite(call); call = host.call) {
 			// eslint-disable-next-line no-await-in-loop -- The code answers a call with the next one.
@@ -117,40 +117,40 @@
 		const {call} = host;
 		if (id === undefined || call?.kind !== 'write') {
 			if (id !== undefined) {
-				throw new Error('the code does not write where the specification does');
+				throw new Error('the code makes no write where the specification makes one');
 			}
 
 			return;
 		}
 
 		host.call = undefined;
-		host.flight = {call};
-		flights.set(id, host.flight);
+		host.inFlightWrite = {call};
+		inFlightWrites.set(id, host.inFlightWrite);
 	};
 
 	const land = (id: number): void => {
-		const flight = flights.get(id)!;
-		const {expected, value} = flight.call.swap;
-		if (expected !== store.revision) {
-			flight.outcome = {kind: 'rejected', revision: store.revision};
+		const write = inFlightWrites.get(id)!;
+		const {expected, value} = write.call.swap;
+		if (expected !== storedSlot.revision) {
+			write.outcome = {kind: 'rejected', revision: storedSlot.revision};
 			return;
 		}
 
-		store.revision++;
-		store.value = value;
-		flight.outcome = {kind: 'applied', revision: store.revision};
+		storedSlot.revision++;
+		storedSlot.value = value;
+		write.outcome = {kind: 'applied', revision: storedSlot.revision};
 	};
 
 	const reply = async (host: Host, outcome: WriteOutcome): Promise<void> => {
-		host.flight!.call.resolve(outcome);
-		host.flight = undefined;
-		await clock.advance(longestBackoff);
+		host.inFlightWrite!.call.resolve(outcome);
+		host.inFlightWrite = undefined;
+		await clock.advance(maxBackoff);
 	};
 
 	return {
 		replies,
 		async apply(event, before, after) {
-			view = after;
+			currentState = after;
 			switch (event.type) {
 				case 'deliver': {
 					deliver(event.message, before);
@@ -158,7 +158,7 @@
 				}
 
 				case 'step': {
-					await step(hosts[event.host]!, after.writers[event.host]!.writing);
+					await step(hosts[event.host]!, after.writers[event.host]!.writeId);
 					break;
 				}
 
@@ -169,7 +169,7 @@
 
 				case 'reply': {
 					const host = hosts[event.host]!;
-					await reply(host, host.flight!.outcome ?? {kind: 'rejected', revision: store.revision});
+					await reply(host, host.inFlightWrite!.outcome ?? {kind: 'rejected', revision: storedSlot.revision});
 					break;
 				}
 
@@ -184,7 +184,7 @@
 				}
 
 				case 'drop': {
-					throw new Error('a replay has no time limits');
+					throw new Error('a replay has no timeouts, so it cannot drop a batch');
 				}
 
 				case 'ask':
@@ -198,14 +198,14 @@
 				}
 			}
 
-			await flush();
+			await flushPromises();
 		},
 		getClaim() {
-			if (store.value === undefined) {
+			if (storedSlot.value === undefined) {
 				return undefined;
 			}
 
-			const {claims} = JSON.parse(store.value) as {claims: Record<string, StoredClaim>};
+			const {claims} = JSON.parse(storedSlot.value) as {claims: Record<string, StoredClaim>};
 			const [claim] = Object.values(claims);
 			return claim === undefined
 				? undefined
--- a/packages/model/src/claims/slot.ts
+++ b/packages/model/src/claims/slot.ts
@@ -1,11 +1,11 @@
 import {
-	isGone, type ClaimRecord, type Fault, type Operation, type Reply, type State,
+	isIncarnationEnded, type ClaimRecord, type Fault, type Operation, type Reply, type State,
 } from './state.js';
 
-/** A claim after an operation, and the decision on it if there is one. */
-export type Step = {claim?: ClaimRecord | undefined; decision?: Reply['decision'] | undefined};
+/** Claim after an operation, and the decision returned to the attempt if there is one. */
+export type OperationResult = {claim?: ClaimRecord | undefined; decision?: Reply['decision'] | undefined};
 
-const getOwnDecision = (claim: ClaimRecord): Reply['decision'] | undefined => {
+const getRepeatedDecision = (claim: ClaimRecord): Reply['decision'] | undefined => {
 	switch (claim.outcome) {
 		case 'claimed': {
 			return 'start';
@@ -27,14 +27,14 @@
 
 const addGivenUp = ({givenUp}: ClaimRecord, attempt: number): number[] => [...new Set([...givenUp, attempt])].toSorted((left, right) => left - right);
 
-const createStart = (before: ClaimRecord | undefined, attempt: number, fault: Fault): Step => {
+const startAttempt = (before: ClaimRecord | undefined, attempt: number, fault: Fault): OperationResult => {
 	const givenUp = before?.outcome === 'not-run' && fault !== 'forget-given-up' ? addGivenUp(before, before.attempt) : [];
 	return {claim: {attempt, outcome: 'claimed', givenUp}, decision: 'start'};
 };
 
-const applyClaim = (state: State, claim: ClaimRecord | undefined, attempt: number, fault: Fault): Step => {
+const applyClaim = (state: State, claim: ClaimRecord | undefined, attempt: number, fault: Fault): OperationResult => {
 	if (claim === undefined) {
-		return createStart(claim, attempt, fault);
+		return startAttempt(claim, attempt, fault);
 	}
 
 	if (claim.givenUp.includes(attempt)) {
@@ -42,16 +42,16 @@
 	}
 
 	if (claim.attempt === attempt) {
-		return {claim, decision: getOwnDecision(claim)};
+		return {claim, decision: getRepeatedDecision(claim)};
 	}
 
 	const holder = state.attempts[claim.attempt];
-	const isHolderGone = holder !== undefined && isGone(state, holder);
+	const hasHolderCrashed = holder !== undefined && isIncarnationEnded(state, holder);
 	switch (claim.outcome) {
 		case 'claimed': {
-			return isHolderGone && fault === 'settle-for-gone'
-				? createStart(claim, attempt, fault)
-				: {claim, decision: isHolderGone ? 'unknown' : 'in-progress'};
+			return hasHolderCrashed && fault === 'settle-for-gone'
+				? startAttempt(claim, attempt, fault)
+				: {claim, decision: hasHolderCrashed ? 'unknown' : 'in-progress'};
 		}
 
 		case 'finished': {
@@ -63,12 +63,12 @@
 		}
 
 		case 'not-run': {
-			return createStart(claim, attempt, fault);
+			return startAttempt(claim, attempt, fault);
 		}
 	}
 };
 
-const applySettlement = (claim: ClaimRecord | undefined, {attempt, outcome}: Extract<Operation, {kind: 'settle'}>, fault: Fault): Step => {
+const applySettlement = (claim: ClaimRecord | undefined, {attempt, outcome}: Extract<Operation, {kind: 'settle'}>, fault: Fault): OperationResult => {
 	if (claim === undefined) {
 		return outcome === 'not-run' ? {claim: {attempt, outcome, givenUp: []}} : {};
 	}
@@ -81,6 +81,6 @@
 	return {claim: isOpen || fault === 'settle-twice' ? {...claim, attempt, outcome} : claim};
 };
 
-/** Applies an operation to the claim of the key. */
-export const applyOperation = (state: State, claim: ClaimRecord | undefined, operation: Operation, fault: Fault): Step =>
+/** Applies an operation to the claim of the key, as the slot writer does. */
+export const applyOperation = (state: State, claim: ClaimRecord | undefined, operation: Operation, fault: Fault): OperationResult =>
 	operation.kind === 'claim' ? applyClaim(state, claim, operation.attempt, fault) : applySettlement(claim, operation, fault);
--- a/packages/model/src/claims/state.ts
+++ b/packages/model/src/claims/state.ts
@@ -1,120 +1,120 @@
-/** Settled end of an attempt as the slot keeps it. */
-export type Settled = 'finished' | 'not-run' | 'unknown';
+/** Final outcome of an attempt, as stored in the slot. */
+export type SettledOutcome = 'finished' | 'not-run' | 'unknown';
 
-/** Claim of the one key. */
+/** Claim of the only key in the specification. */
 export type ClaimRecord = {
 	attempt: number;
-	outcome: 'claimed' | Settled;
-	/** Other attempts that were given up, in order of number. */
+	outcome: 'claimed' | SettledOutcome;
+	/** Other attempts that were given up, in ascending order. */
 	givenUp: number[];
 };
 
-/** Value of the slot in the service; revision 0 without a claim means absent. */
+/** Value of the slot in the key-value service; revision 0 without a claim means that it is absent. */
 export type SlotRecord = {revision: number; claim?: ClaimRecord | undefined};
 
-/** What is asked of a slot writer. */
+/** Operation requested from a slot writer. */
 export type Operation
 	= | {kind: 'claim'; attempt: number}
-		| {kind: 'settle'; attempt: number; outcome: Settled};
+		| {kind: 'settle'; attempt: number; outcome: SettledOutcome};
 
-/** A write on its way to the service, or that reached it. */
-export type PendingWrite = {
+/** Compare-and-swap of the slot that was sent to the key-value service, with its result there. */
+export type SlotWrite = {
 	id: number;
 	expected: number;
 	claim: ClaimRecord;
-	landed: 'pending' | 'applied' | 'rejected';
-	/** Whether the writer still waits for the reply. */
+	result: 'pending' | 'applied' | 'rejected';
+	/** Whether the writer still awaits the reply. */
 	isAwaited: boolean;
 };
 
 /**
-The slot writer of a host. What it remembers of the slot between batches is left out: a write from an old state is rejected,
-and an answer isn't given from one, so that remembering does what reading does.
+Slot writer of a host. The copy of the slot that the code caches between batches isn't modelled: a write based on a stale copy
+is rejected, and no answer is given from one, so a cached copy has the same effect as a read.
 */
 export type Writer = {
 	batch: Operation[];
 	queue: Operation[];
-	/** Write under way. */
-	writing?: number | undefined;
+	/** Id of the write in flight. */
+	writeId?: number | undefined;
 };
 
-/** Where an attempt stands at its host. */
+/** Phase of an attempt at its host; `alone` means that the host claims the key without the slot's owner. */
 export type Phase = 'new' | 'asking' | 'alone' | 'given-up' | 'dispatched' | 'ended';
 
-/** What the caller of an attempt was told. */
-export type Told = 'not-run' | 'ran' | 'unknown' | 'in-progress' | 'done';
+/** Result that the caller of an attempt received. */
+export type ReportedResult = 'not-run' | 'ran' | 'unknown' | 'in-progress' | 'done';
 
-/** One request under the key. */
+/** One request with the key. */
 export type Attempt = {
 	host: number;
-	/** Run of the host that makes the attempt: 1, or 2 after its crash. */
-	run: number;
+	/** Incarnation of the host that makes the attempt: 1, or 2 after its crash. */
+	incarnation: number;
 	phase: Phase;
-	/** True from dispatch on, unless the upstream says that it refused. */
-	ran: boolean;
-	told?: Told;
+	/** True from dispatch on, unless the upstream reports that it refused the request. */
+	hasRun: boolean;
+	reportedResult?: ReportedResult;
 };
 
-/** A message that may arrive twice, late, out of order or never. */
-export type Message = {to: number; operation: Operation; deliveries: number};
+/** Message that may be delivered more than once, late, out of order or never. */
+export type Message = {to: number; operation: Operation; remainingDeliveries: number};
 
-/** A decision on its way to an attempt's host. */
+/** Decision in flight to the host of an attempt. */
 export type Reply = {attempt: number; decision: 'start' | 'in-progress' | 'done' | 'unknown'};
 
-/** State of the whole system. */
+/** State of the key-value service, the slot writers, the messages and the attempts. */
 export type State = {
 	slot: SlotRecord;
 	writers: Writer[];
-	writes: PendingWrite[];
+	writes: SlotWrite[];
 	messages: Message[];
 	replies: Reply[];
 	attempts: Attempt[];
-	/** Times that each message may arrive. */
-	deliveries: number;
-	/** Number of runs of each host that have ended. */
+	/** Number of times that each message may be delivered. */
+	maxDeliveries: number;
+	/** Number of crashes of each host. */
 	crashes: number[];
 	writesSent: number;
-	/** True once a settled outcome in the service has changed. */
+	/** True once a settled outcome in the key-value service has changed. */
 	hasChangedOutcome: boolean;
 };
 
-/** Bounds of the exploration. */
-export type Bounds = {writes: number; crashes: number; deliveries: number; attempts: Array<{host: number; run: number}>};
+/** Bounds that keep the exploration finite, and the attempts to explore. */
+export type Bounds = {maxWrites: number; maxCrashes: number; maxDeliveries: number; attempts: Array<{host: number; incarnation: number}>};
 
-/** A fault of the specification, to show that the check can fail. */
+/** Fault put into the specification, to show that the invariants catch it. */
 export type Fault = 'none' | 'start-on-unknown' | 'answer-without-write' | 'write-without-compare' | 'settle-for-gone' | 'forget-given-up' | 'start-after-giving-up' | 'settle-twice';
 
-/** Adds an item to a set that is kept as a sorted list, so that equal sets have equal texts. */
-export const addTo = <Item>(items: readonly Item[], item: Item): Item[] => {
+/** Adds an item to a set that is kept as a sorted list, so that equal sets have the same JSON. */
+export const addToSet = <Item>(items: readonly Item[], item: Item): Item[] => {
 	const text = JSON.stringify(item);
 	return items.some(other => JSON.stringify(other) === text)
 		? [...items]
 		: [...items, item].toSorted((left, right) => JSON.stringify(left) < JSON.stringify(right) ? -1 : 1);
 };
 
-/** Gets a copy of a list with one item changed. */
-export const setAt = <Item>(items: readonly Item[], index: number, change: Partial<Item>): Item[] =>
+/** Returns a copy of a list in which one item is updated. */
+export const updateAt = <Item>(items: readonly Item[], index: number, change: Partial<Item>): Item[] =>
 	items.map((item, position) => position === index ? {...item, ...change} : item);
 
-/** Creates the state before anything has happened. */
-export const createState = (bounds: Bounds): State => ({
+/** Creates the initial state. */
+export const createInitialState = (bounds: Bounds): State => ({
 	slot: {revision: 0},
 	writers: [{batch: [], queue: []}, {batch: [], queue: []}],
 	writes: [],
 	messages: [],
 	replies: [],
-	attempts: bounds.attempts.map(({host, run}) => ({
-		host, run, phase: 'new', ran: false,
+	attempts: bounds.attempts.map(({host, incarnation}) => ({
+		host, incarnation, phase: 'new', hasRun: false,
 	})),
-	deliveries: bounds.deliveries,
+	maxDeliveries: bounds.maxDeliveries,
 	crashes: [0, 0],
 	writesSent: 0,
 	hasChangedOutcome: false,
 });
 
-/** Whether the run of the host that made an attempt has ended. */
-export const isGone = (state: State, attempt: Attempt): boolean => (state.crashes[attempt.host] ?? 0) >= attempt.run;
+/** Whether the incarnation of the host that made an attempt has ended. */
+export const isIncarnationEnded = (state: State, attempt: Attempt): boolean => (state.crashes[attempt.host] ?? 0) >= attempt.incarnation;
 
-/** Whether two operations are the same. An attempt settles in one way only. */
+/** Whether two operations are the same. The outcome isn't compared, since an attempt settles with one outcome only. */
 export const isSameOperation = (left: Operation, right: Operation): boolean =>
 	left.kind === right.kind && left.attempt === right.attempt;
--- a/packages/model/src/claims/writer.ts
+++ b/packages/model/src/claims/writer.ts
@@ -1,9 +1,9 @@
 import {applyOperation} from './slot.js';
 import {
-	addTo, isSameOperation, setAt, type ClaimRecord, type Fault, type Message, type PendingWrite, type Reply, type State, type Writer,
+	addToSet, isSameOperation, updateAt, type ClaimRecord, type Fault, type Message, type SlotWrite, type Reply, type State, type Writer,
 } from './state.js';
 
-/** Events of a host's slot writer and of the service. */
+/** Events of the hosts' slot writers and of the key-value service. */
 export type WriterEvent
 	= | {type: 'deliver'; message: Message}
 		| {type: 'step'; host: number}
@@ -12,13 +12,13 @@
 		| {type: 'reply'; host: number}
 		| {type: 'lose-reply'; host: number};
 
-type Applied = {claim?: ClaimRecord | undefined; replies: Reply[]};
+type BatchResult = {claim?: ClaimRecord | undefined; replies: Reply[]};
 
 const isSameClaim = (left: ClaimRecord | undefined, right: ClaimRecord | undefined): boolean =>
 	left?.attempt === right?.attempt && left?.outcome === right?.outcome && left?.givenUp.length === right?.givenUp.length;
 
-/** Applies a writer's batch to the slot as it is in the service. */
-const applyBatch = (state: State, host: number, fault: Fault): Applied => {
+/** Applies the batch of a writer to the slot as the key-value service stores it. */
+const applyBatch = (state: State, host: number, fault: Fault): BatchResult => {
 	let {claim} = state.slot;
 	const replies: Reply[] = [];
 	for (const operation of state.writers[host]!.batch) {
@@ -35,71 +35,71 @@
 const needsWrite = (state: State, host: number, fault: Fault): boolean =>
 	!isSameClaim(applyBatch(state, host, fault).claim, state.slot.claim);
 
-const getWriterEvents = (state: State, host: number, fault: Fault, writeLimit: number): WriterEvent[] => {
+const getHostEvents = (state: State, host: number, fault: Fault, writeLimit: number): WriterEvent[] => {
 	const writer = state.writers[host]!;
 	if (writer.batch.length === 0) {
 		return [];
 	}
 
-	if (writer.writing !== undefined) {
-		const write = state.writes.find(({id}) => id === writer.writing);
-		const isLanded = write !== undefined && write.landed !== 'pending';
-		return isLanded ? [{type: 'reply', host}, {type: 'lose-reply', host}] : [{type: 'lose-reply', host}];
+	if (writer.writeId !== undefined) {
+		const write = state.writes.find(({id}) => id === writer.writeId);
+		const isCompleted = write !== undefined && write.result !== 'pending';
+		return isCompleted ? [{type: 'reply', host}, {type: 'lose-reply', host}] : [{type: 'lose-reply', host}];
 	}
 
 	const canStep = state.writesSent < writeLimit || !needsWrite(state, host, fault);
 	return canStep ? [{type: 'step', host}, {type: 'drop', host}] : [{type: 'drop', host}];
 };
 
-const isWaiting = (writer: Writer, message: Message): boolean =>
+const isQueued = (writer: Writer, message: Message): boolean =>
 	[...writer.batch, ...writer.queue].some(operation => isSameOperation(operation, message.operation));
 
-/** Gets what writers and the service may do. */
-export const getEvents = (state: State, fault: Fault, writeLimit: number): WriterEvent[] => [
-	...state.messages.filter(message => !isWaiting(state.writers[message.to]!, message)).map(message => ({type: 'deliver' as const, message})),
-	...state.writers.flatMap((_, host) => getWriterEvents(state, host, fault, writeLimit)),
-	...state.writes.filter(({landed}) => landed === 'pending').map(({id}) => ({type: 'land' as const, write: id})),
+/** Returns the events of the writers and the key-value service that may happen in a state. */
+export const getWriterEvents = (state: State, fault: Fault, writeLimit: number): WriterEvent[] => [
+	...state.messages.filter(message => !isQueued(state.writers[message.to]!, message)).map(message => ({type: 'deliver' as const, message})),
+	...state.writers.flatMap((_, host) => getHostEvents(state, host, fault, writeLimit)),
+	...state.writes.filter(({result}) => result === 'pending').map(({id}) => ({type: 'land' as const, write: id})),
 ];
 
-const deliver = (state: State, message: Message): State => {
-	const {to, operation, deliveries} = message;
+const applyDelivery = (state: State, message: Message): State => {
+	const {to, operation, remainingDeliveries} = message;
 	const writer = state.writers[to]!;
 	const change = writer.batch.length === 0 ? {batch: [operation]} : {queue: [...writer.queue, operation]};
 	const messages = state.messages
-		.map(other => other.to === to && isSameOperation(other.operation, operation) ? {...other, deliveries: deliveries - 1} : other)
-		.filter(other => other.deliveries > 0);
-	return {...state, messages, writers: setAt(state.writers, to, change)};
+		.map(other => other.to === to && isSameOperation(other.operation, operation) ? {...other, remainingDeliveries: remainingDeliveries - 1} : other)
+		.filter(other => other.remainingDeliveries > 0);
+	return {...state, messages, writers: updateAt(state.writers, to, change)};
 };
 
-const write = (state: State, host: number, fault: Fault): State => {
+const startWrite = (state: State, host: number, fault: Fault): State => {
 	const {claim} = applyBatch(state, host, fault);
-	const pending: PendingWrite = {
-		id: state.writesSent, expected: state.slot.revision, claim: claim!, landed: 'pending', isAwaited: true,
+	const pending: SlotWrite = {
+		id: state.writesSent, expected: state.slot.revision, claim: claim!, result: 'pending', isAwaited: true,
 	};
 	return {
 		...state,
 		writesSent: state.writesSent + 1,
 		writes: [...state.writes, pending],
-		writers: setAt(state.writers, host, {writing: pending.id}),
+		writers: updateAt(state.writers, host, {writeId: pending.id}),
 	};
 };
 
-const endBatch = (state: State, host: number): State =>
-	({...state, writers: setAt(state.writers, host, {batch: state.writers[host]!.queue, queue: []})});
+const finishBatch = (state: State, host: number): State =>
+	({...state, writers: updateAt(state.writers, host, {batch: state.writers[host]!.queue, queue: []})});
 
-const answer = (state: State, host: number, replies: Reply[]): State => {
+const answerBatch = (state: State, host: number, replies: Reply[]): State => {
 	let sent = state.replies;
 	for (const reply of replies) {
-		sent = addTo(sent, reply);
+		sent = addToSet(sent, reply);
 	}
 
-	return {...endBatch(state, host), replies: sent};
+	return {...finishBatch(state, host), replies: sent};
 };
 
-/** Reads, and then writes or answers. A pause in between is a write that lands late. */
-const step = (state: State, host: number, fault: Fault): State => needsWrite(state, host, fault)
-	? write(state, host, fault)
-	: answer(state, host, applyBatch(state, host, fault).replies);
+/** Reads the slot, and then writes or answers. A pause between read and write is the same as a write that reaches the service late. */
+const applyStep = (state: State, host: number, fault: Fault): State => needsWrite(state, host, fault)
+	? startWrite(state, host, fault)
+	: answerBatch(state, host, applyBatch(state, host, fault).replies);
 
 const isOutcomeChanged = (before: ClaimRecord | undefined, after: ClaimRecord): boolean => {
 	if (before === undefined || before.outcome === 'claimed') {
@@ -110,10 +110,10 @@
 	return before.outcome === 'not-run' ? before.attempt === after.attempt && after.outcome !== 'not-run' : isOther;
 };
 
-const land = (state: State, id: number, fault: Fault): State => {
+const applyLanding = (state: State, id: number, fault: Fault): State => {
 	const pending = state.writes.find(candidate => candidate.id === id)!;
 	const isApplied = pending.expected === state.slot.revision || fault === 'write-without-compare';
-	const writes = state.writes.map(candidate => candidate.id === id ? {...candidate, landed: isApplied ? 'applied' as const : 'rejected' as const} : candidate);
+	const writes = state.writes.map(candidate => candidate.id === id ? {...candidate, result: isApplied ? 'applied' as const : 'rejected' as const} : candidate);
 	if (!isApplied) {
 		return {...state, writes};
 	}
@@ -128,23 +128,23 @@
 
 const stopAwaiting = (state: State, host: number): State => ({
 	...state,
-	writes: state.writes.map(candidate => candidate.id === state.writers[host]!.writing ? {...candidate, isAwaited: false} : candidate),
-	writers: setAt(state.writers, host, {writing: undefined}),
+	writes: state.writes.map(candidate => candidate.id === state.writers[host]!.writeId ? {...candidate, isAwaited: false} : candidate),
+	writers: updateAt(state.writers, host, {writeId: undefined}),
 });
 
 /**
-Answers from the state that was written. After a rejection the next step reads, and so it does if the batch changes the
-written state once more, as when an operation late in the batch has freed the key for an earlier one.
+Answers from the state that was written. The next step reads again after a rejection, and also if the batch would change the
+written state once more, as when an operation late in the batch has released the key for an earlier one.
 */
-const takeReply = (state: State, host: number, fault: Fault): State => {
-	const pending = state.writes.find(({id}) => id === state.writers[host]!.writing)!;
+const applyReply = (state: State, host: number, fault: Fault): State => {
+	const pending = state.writes.find(({id}) => id === state.writers[host]!.writeId)!;
 	const after = stopAwaiting(state, host);
 	const written = {...state, slot: {revision: pending.expected + 1, claim: pending.claim}};
-	const mustStep = pending.landed === 'rejected' || (needsWrite(written, host, fault) && fault !== 'answer-without-write');
-	return mustStep ? after : answer(after, host, applyBatch(written, host, fault).replies);
+	const mustStep = pending.result === 'rejected' || (needsWrite(written, host, fault) && fault !== 'answer-without-write');
+	return mustStep ? after : answerBatch(after, host, applyBatch(written, host, fault).replies);
 };
 
-const loseReply = (state: State, host: number, fault: Fault): State => {
+const applyLostReply = (state: State, host: number, fault: Fault): State => {
 	const lost = stopAwaiting(state, host);
 	if (fault !== 'start-on-unknown') {
 		return lost;
@@ -152,50 +152,50 @@
 
 	let {replies} = lost;
 	for (const {attempt} of state.writers[host]!.batch.filter(({kind}) => kind === 'claim')) {
-		replies = addTo(replies, {attempt, decision: 'start'});
+		replies = addToSet(replies, {attempt, decision: 'start'});
 	}
 
 	return {...lost, replies};
 };
 
-/** Forgets writes that can't matter any more, so that equal situations are equal states. */
-const forgetWrites = (state: State, fault: Fault): State => {
+/** Rejects pending writes with an outdated revision and drops writes without further effect, so that equivalent states are equal. */
+const removeObsoleteWrites = (state: State, fault: Fault): State => {
 	const writes = state.writes
-		.map(candidate => candidate.landed === 'pending' && candidate.expected !== state.slot.revision && fault !== 'write-without-compare'
-			? {...candidate, landed: 'rejected' as const}
+		.map(candidate => candidate.result === 'pending' && candidate.expected !== state.slot.revision && fault !== 'write-without-compare'
+			? {...candidate, result: 'rejected' as const}
 			: candidate)
-		.filter(({landed, isAwaited}) => landed === 'pending' || isAwaited);
+		.filter(({result, isAwaited}) => result === 'pending' || isAwaited);
 	return {...state, writes};
 };
 
 const applyEvent = (state: State, event: WriterEvent, fault: Fault): State => {
 	switch (event.type) {
 		case 'deliver': {
-			return deliver(state, event.message);
+			return applyDelivery(state, event.message);
 		}
 
 		case 'step': {
-			return step(state, event.host, fault);
+			return applyStep(state, event.host, fault);
 		}
 
 		case 'drop': {
-			return endBatch(state, event.host);
+			return finishBatch(state, event.host);
 		}
 
 		case 'land': {
-			return land(state, event.write, fault);
+			return applyLanding(state, event.write, fault);
 		}
 
 		case 'reply': {
-			return takeReply(state, event.host, fault);
+			return applyReply(state, event.host, fault);
 		}
 
 		case 'lose-reply': {
-			return loseReply(state, event.host, fault);
+			return applyLostReply(state, event.host, fault);
 		}
 	}
 };
 
-/** Applies an event of a writer or of the service. */
+/** Applies an event of a writer or of the key-value service. */
 export const applyWriterEvent = (state: State, event: WriterEvent, fault: Fault): State =>
-	forgetWrites(applyEvent(state, event, fault), fault);
+	removeObsoleteWrites(applyEvent(state, event, fault), fault);
--- a/packages/model/src/configuration/configuration.test.ts
+++ b/packages/model/src/configuration/configuration.test.ts
@@ -3,7 +3,7 @@
 } from '@gentianlift/distribution';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {explore, getGraph} from '../explore.js';
+import {explore, exploreGraph} from '../explore.js';
 import {
 	configurationChecks, hostFaultBounds, operatorFaultBounds,
 } from './checks.js';
@@ -18,7 +18,7 @@
 
 const getTransitions = (bounds: SpreadBounds): Array<{before: SpreadState; event: SpreadEvent; after: SpreadState}> => {
 	const specification = createSpreadSpecification(bounds);
-	return [...getGraph(specification).states.values()].flatMap(before =>
+	return [...exploreGraph(specification).states.values()].flatMap(before =>
 		specification.getEvents(before).map(event => ({before, event, after: specification.apply(before, event)})));
 };
 
--- a/packages/model/src/configuration/specification.ts
+++ b/packages/model/src/configuration/specification.ts
@@ -87,5 +87,5 @@
 		return dropOldNews(fault === 'ignores-revision' ? next : dropLostWrites(next));
 	},
 	invariants: spreadInvariants,
-	stateLimit,
+	maxStates: stateLimit,
 });
--- a/packages/model/src/explore.ts
+++ b/packages/model/src/explore.ts
@@ -2,39 +2,39 @@
 import {getAdjacencyMap} from 'xstate/graph';
 import type {Exploration, Specification, Violation} from './specification.js';
 
-type Visit = {from: string; event: {type: string}};
-type Node<State> = Snapshot<undefined> & {context: State};
-type Visits = Map<string, Visit>;
+type Step = {from: string; event: {type: string}};
+type GraphNode<State> = Snapshot<undefined> & {context: State};
+type StepsByState = Map<string, Step>;
 
-/** Gets the events on a shortest path from the initial state to a state. */
-const getTrace = (visits: Visits, state: string): Array<{type: string}> => {
+/** Returns the events on a shortest path from the initial state to a state. */
+const getTrace = (steps: StepsByState, state: string): Array<{type: string}> => {
 	const trace: Array<{type: string}> = [];
-	for (let visit = visits.get(state); visit !== undefined; visit = visits.get(visit.from)) {
-		trace.unshift(visit.event);
+	for (let step = steps.get(state); step !== undefined; step = steps.get(step.from)) {
+		trace.unshift(step.event);
 	}
 
 	return trace;
 };
 
-/** Everything reachable in a specification. */
-export type Graph<State> = {
-	/** States by their text, in the order of their distance from the initial one. */
+/** Reachable states and transitions of a specification. */
+export type StateGraph<State> = {
+	/** States by their JSON, in the order of their distance from the initial state. */
 	states: Map<string, State>;
 	transitions: number;
-	/** Gets the events that lead to a state. */
+	/** Returns the events on a shortest path from the initial state to the state with the given JSON. */
 	getTrace: (state: string) => Array<{type: string}>;
 };
 
-/** Gets the graph of reachable states, up to the first in which `isEnd` holds if there is one; throws if there are more than the specification's limit. */
-export const getGraph = <State, Event extends {type: string}>(specification: Specification<State, Event>, isEnd: (state: State) => boolean = () => false): Graph<State> => {
+/** Explores the reachable states breadth-first, and stops at the first in which `isEnd` holds. Throws if there are more than `maxStates` of the specification. */
+export const exploreGraph = <State, Event extends {type: string}>(specification: Specification<State, Event>, isEnd: (state: State) => boolean = () => false): StateGraph<State> => {
 	const logic = fromTransition<State, Event, ActorSystem<never>, undefined>(specification.apply, specification.initial);
-	const visits: Visits = new Map();
+	const steps: StepsByState = new Map();
 	const seen = new Set([JSON.stringify(specification.initial)]);
 	let transitions = 0;
 	let hasEnded = false;
 
-	/** Follows an event only if it leads to a state not seen before, which keeps the queue of the exploration short. */
-	const isNew = ({context}: Node<State>, event: Event): boolean => {
+	/** Whether an event leads to a state not seen before; following only these keeps the queue of the exploration short. */
+	const isNew = ({context}: GraphNode<State>, event: Event): boolean => {
 		transitions++;
 		const next = specification.apply(context, event);
 		const target = JSON.stringify(next);
@@ -43,34 +43,34 @@
 		}
 
 		seen.add(target);
-		visits.set(target, {from: JSON.stringify(context), event});
+		steps.set(target, {from: JSON.stringify(context), event});
 		hasEnded = isEnd(next);
 		return true;
 	};
 
-	const map = getAdjacencyMap<Node<State>, Event, undefined>(logic, {
+	const adjacencyMap = getAdjacencyMap<GraphNode<State>, Event, undefined>(logic, {
 		serializeState: snapshot => JSON.stringify(snapshot.context),
 		events: snapshot => specification.getEvents(snapshot.context),
 		filterEvents: isNew,
-		limit: specification.stateLimit,
+		limit: specification.maxStates,
 	});
-	const found = Object.entries(map as unknown as Record<string, {state: Node<State>}>);
-	const states = new Map(found.map(([key, {state}]) => [key, state.context]));
-	return {states, transitions, getTrace: state => getTrace(visits, state)};
+	const nodes = Object.entries(adjacencyMap as unknown as Record<string, {state: GraphNode<State>}>);
+	const states = new Map(nodes.map(([key, {state}]) => [key, state.context]));
+	return {states, transitions, getTrace: state => getTrace(steps, state)};
 };
 
 /**
-Explores every reachable state of a specification and checks its invariants in each; gets the nearest violation of each.
-Stops at the first state that breaks the invariant named by `caughtBy`.
+Explores every reachable state of a specification and checks its invariants in each. Returns the violation with the shortest
+trace for each broken invariant. Stops at the first state that breaks the invariant named `caughtBy`.
 */
 export const explore = <State, Event extends {type: string}>(specification: Specification<State, Event>, caughtBy?: string): Exploration => {
 	const expected = specification.invariants.find(({name}) => name === caughtBy);
-	const graph = getGraph(specification, state => expected !== undefined && !expected.holds(state));
+	const graph = exploreGraph(specification, state => expected !== undefined && !expected.holds(state));
 	const violations: Violation[] = [];
 	for (const {name, holds} of specification.invariants) {
-		const broken = [...graph.states].find(([, state]) => !holds(state));
-		if (broken !== undefined) {
-			violations.push({invariant: name, trace: graph.getTrace(broken[0])});
+		const violatingState = [...graph.states].find(([, state]) => !holds(state));
+		if (violatingState !== undefined) {
+			violations.push({invariant: name, trace: graph.getTrace(violatingState[0])});
 		}
 	}
 
--- a/packages/model/src/imports.test.ts
+++ b/packages/model/src/imports.test.ts
@@ -35,7 +35,7 @@
 	}
 });
 
-test('each package has its license, and those of trials are private', () => {
+test('each package has its license, and the packages for tests and trials are private', () => {
 	for (const name of names) {
 		const manifest = readManifest(name);
 		expect({name, license: manifest.license, isPrivate: manifest.private === true}).toEqual({name, license: 'Apache-2.0', isPrivate: privatePackages.has(name)});
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -1,3 +1,3 @@
 export {checks} from './checks.js';
-export {explore, getGraph, type Graph} from './explore.js';
+export {explore, exploreGraph, type StateGraph} from './explore.js';
 export type * from './specification.js';
--- a/packages/model/src/leases/leases.test.ts
+++ b/packages/model/src/leases/leases.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import type {Fencing} from '@gentianlift/types';
-import {getGraph} from '../explore.js';
+import {exploreGraph} from '../explore.js';
 import {isAllowed} from './events.js';
 import {createReplay, type ReplayView} from './replay.js';
 import {createLeaseSpecification} from './specification.js';
@@ -28,7 +28,7 @@
 
 const replayTraces = async (fencing: Fencing): Promise<number> => {
 	const specification = createLeaseSpecification({fencing, leases: 2, faults: 1});
-	const graph = getGraph(specification);
+	const graph = exploreGraph(specification);
 	const states = [...graph.states.values()];
 	const step = Math.ceil(states.length / traceCount);
 	let steps = 0;
--- a/packages/model/src/leases/specification.ts
+++ b/packages/model/src/leases/specification.ts
@@ -32,7 +32,7 @@
 	initial: getInitial(variant.faults),
 	getEvents: state => getLeaseEvents(state, variant),
 	apply: (state, event) => applyLeaseEvent(state, event, variant),
-	stateLimit,
+	maxStates: stateLimit,
 	invariants: [
 		{name: leaseInvariants.unique, holds: state => new Set(getTerms(state).map(({number}) => number)).size === getTerms(state).length},
 		{name: leaseInvariants.rising, holds: isRising},
--- a/packages/model/src/run-checks.ts
+++ b/packages/model/src/run-checks.ts
@@ -1,6 +1,6 @@
 import type {Check, Exploration, Violation} from './specification.js';
 
-/** Result of a check. */
+/** Result of a check, with the lines to print. */
 export type CheckResult = {name: string; isPassed: boolean; lines: string[]};
 
 const getTraceLines = ({invariant, trace}: Violation): string[] => [
@@ -19,12 +19,12 @@
 	return hasPassed ? `fault caught by "${caughtBy}"` : `fault not caught by "${caughtBy}"`;
 };
 
-/** Runs a check. */
+/** Runs a check. The traces of violations are printed unless they are those of a fault that was caught. */
 export const runCheck = (check: Check): CheckResult => {
 	const exploration = check.explore();
 	const hasPassed = isPassed(check, exploration);
 	const summary = `${check.name}: ${exploration.states} states, ${exploration.transitions} transitions, ${getVerdict(check, hasPassed)}`;
-	const isExpected = hasPassed && check.caughtBy !== undefined;
-	const traces = isExpected ? [] : exploration.violations.flatMap(violation => getTraceLines(violation));
+	const isCaughtFault = hasPassed && check.caughtBy !== undefined;
+	const traces = isCaughtFault ? [] : exploration.violations.flatMap(violation => getTraceLines(violation));
 	return {name: check.name, isPassed: hasPassed, lines: [summary, ...traces]};
 };
