--- a/packages/model/src/configuration/configuration.test.ts
+++ b/packages/model/src/configuration/configuration.test.ts
@@ -7,42 +7,42 @@
 import {
 	configurationChecks, hostFaultBounds, operatorFaultBounds,
 } from './checks.js';
-import {createSpreadSpecification} from './specification.js';
+import {createDistributionSpecification} from './specification.js';
 import type {
-	Host, Operator, SpreadBounds, SpreadEvent, SpreadState,
+	Host, Operator, DistributionBounds, DistributionEvent, DistributionState,
 } from './state.js';
 
 const createVersion = (version: number, token: string): ConfigurationVersion => ({
 	version, token, author: '', acceptedAt: 0, note: '', configuration: token as unknown as Configuration,
 });
 
-const getTransitions = (bounds: SpreadBounds): Array<{before: SpreadState; event: SpreadEvent; after: SpreadState}> => {
-	const specification = createSpreadSpecification(bounds);
+const getTransitions = (bounds: DistributionBounds): Array<{before: DistributionState; event: DistributionEvent; after: DistributionState}> => {
+	const specification = createDistributionSpecification(bounds);
 	return [...exploreGraph(specification).states.values()].flatMap(before =>
 		specification.getEvents(before).map(event => ({before, event, after: specification.apply(before, event)})));
 };
 
-const getPhase = ({service, accepted}: SpreadState, {token, base, isWritten}: Operator): string => {
+const getPublishStepKind = ({service, accepted}: DistributionState, {token, base, hasUncertainWrite}: Operator): string => {
 	const publication: Publication = {
 		configuration: token as unknown as Configuration, base, token, author: '', note: '',
 	};
 	const finding = {current: createVersion(service.version, service.token)};
-	const step = getPublishStep(publication, finding, isWritten);
+	const step = getPublishStep(publication, finding, hasUncertainWrite);
 	if (step.kind !== 'read-successor') {
 		return step.kind;
 	}
 
 	const successor = createVersion(step.version, accepted[step.version - 1]!.token);
-	return getPublishStep(publication, {...finding, successor}, isWritten).kind;
+	return getPublishStep(publication, {...finding, successor}, hasUncertainWrite).kind;
 };
 
-test('the publisher decides as the specification does in every reachable state', () => {
-	const names: Record<string, string> = {applied: 'accepted', write: 'write', conflict: 'conflict'};
-	const settlings = getTransitions(operatorFaultBounds).filter(({event}) => event.type === 'settle');
-	expect(settlings.length).toBeGreaterThan(20);
-	for (const {before, event, after} of settlings) {
+test('getPublishStep decides as the specification does in every reachable state', () => {
+	const stepByPhase: Record<string, string> = {applied: 'accepted', write: 'write', conflict: 'conflict'};
+	const settleTransitions = getTransitions(operatorFaultBounds).filter(({event}) => event.type === 'settle');
+	expect(settleTransitions.length).toBeGreaterThan(20);
+	for (const {before, event, after} of settleTransitions) {
 		const index = event.type === 'settle' ? event.operator : 0;
-		expect(getPhase(before, before.operators[index]!)).toBe(names[after.operators[index]!.phase]);
+		expect(getPublishStepKind(before, before.operators[index]!)).toBe(stepByPhase[after.operators[index]!.phase]);
 	}
 });
 
@@ -60,15 +60,15 @@
 };
 
 const applyAnswer = (host: Host): FollowerState => {
-	const {version, confirmedAt} = host.answer!;
+	const {version, confirmedAt} = host.pendingAnswer!;
 	const newest = createVersion(version, `token-${version}`);
-	const moment = confirmedAt === 0 ? undefined : confirmedAt;
+	const time = confirmedAt === 0 ? undefined : confirmedAt;
 	const isStarting = host.version === 0;
-	const reading = chooseReading([{kind: 'answered', answer: {newest}, confirmedAt: moment}], isStarting ? host.heard : 0);
-	return reading === undefined ? getFollowerState(host) : applyVersion(getFollowerState(host), newest, moment);
+	const reading = chooseReading([{kind: 'answered', answer: {newest}, confirmedAt: time}], isStarting ? host.announcedVersion : 0);
+	return reading === undefined ? getFollowerState(host) : applyVersion(getFollowerState(host), newest, time);
 };
 
-const applyEvent = (host: Host, event: SpreadEvent): FollowerState | undefined => {
+const applyEvent = (host: Host, event: DistributionEvent): FollowerState | undefined => {
 	if (event.type === 'read-service') {
 		return applyVersion(getFollowerState(host), createVersion(event.version, `token-${event.version}`), event.askedAt);
 	}
@@ -80,7 +80,7 @@
 	return event.type === 'receive-answer' ? applyAnswer(host) : undefined;
 };
 
-test('a host applies versions as the specification does in every reachable state', () => {
+test('applyVersion and chooseReading apply versions as the specification does in every reachable state', () => {
 	let checked = 0;
 	for (const {before, event, after} of getTransitions(hostFaultBounds)) {
 		const index = 'host' in event ? event.host : 0;
@@ -95,13 +95,13 @@
 	expect(checked).toBeGreaterThan(1000);
 });
 
-test('catches each fault put into the specification', () => {
+test('each fault breaks the invariant that has to catch it', () => {
 	const faults = configurationChecks.filter(({caughtBy}) => caughtBy !== undefined);
 	const found = faults.map(check => check.explore().violations.some(({invariant}) => invariant === check.caughtBy));
 	expect(found).toEqual(faults.map(() => true));
 });
 
-test('holds within small bounds', () => {
-	expect(explore(createSpreadSpecification(operatorFaultBounds)).violations).toEqual([]);
-	expect(explore(createSpreadSpecification(hostFaultBounds)).violations).toEqual([]);
+test('the specification holds within small bounds', () => {
+	expect(explore(createDistributionSpecification(operatorFaultBounds)).violations).toEqual([]);
+	expect(explore(createDistributionSpecification(hostFaultBounds)).violations).toEqual([]);
 });
--- a/packages/model/src/configuration/hosts.ts
+++ b/packages/model/src/configuration/hosts.ts
@@ -1,106 +1,106 @@
 import type {
-	Host, SpreadBounds, SpreadEvent, SpreadFault, SpreadState,
+	Host, DistributionBounds, DistributionEvent, DistributionFault, DistributionState,
 } from './state.js';
 
-const getHost = (state: SpreadState, index: number): Host => state.hosts[index]!;
+const getHost = (state: DistributionState, index: number): Host => state.hosts[index]!;
 
-const change = (state: SpreadState, index: number, changes: Partial<Host>): SpreadState =>
-	({...state, hosts: state.hosts.map((host, place) => place === index ? {...host, ...changes} : host)});
+const updateHost = (state: DistributionState, index: number, changes: Partial<Host>): DistributionState =>
+	({...state, hosts: state.hosts.map((host, position) => position === index ? {...host, ...changes} : host)});
 
 const getRange = (from: number, to: number): number[] => Array.from({length: Math.max(0, to - from + 1)}, (_, index) => from + index);
 
-const getServiceReads = (state: SpreadState, index: number, {hasConfirmations}: SpreadBounds): SpreadEvent[] => {
-	const newest = state.accepted.length;
-	const moments = hasConfirmations ? getRange(1, newest) : [1];
-	return moments.flatMap(askedAt => getRange(askedAt, newest).map(version => ({
+const getServiceReads = (state: DistributionState, index: number, {hasConfirmations}: DistributionBounds): DistributionEvent[] => {
+	const newestVersion = state.accepted.length;
+	const times = hasConfirmations ? getRange(1, newestVersion) : [1];
+	return times.flatMap(askedAt => getRange(askedAt, newestVersion).map(version => ({
 		type: 'read-service', host: index, version, askedAt,
-	} satisfies SpreadEvent)));
+	} satisfies DistributionEvent)));
 };
 
-const getPeerEvents = (state: SpreadState, index: number): SpreadEvent[] => {
+const getPeerEvents = (state: DistributionState, index: number): DistributionEvent[] => {
 	const host = getHost(state, index);
-	const events: SpreadEvent[] = [];
-	const peers = state.hosts.filter((peer, place) => place !== index && peer.version > 0);
+	const events: DistributionEvent[] = [];
+	const peers = state.hosts.filter((peer, position) => position !== index && peer.version > 0);
 	if (peers.length > 0) {
 		events.push({type: 'ask-peer', host: index});
 	}
 
-	if (host.answer !== undefined) {
+	if (host.pendingAnswer !== undefined) {
 		events.push({type: 'receive-answer', host: index});
 	}
 
-	const newest = state.accepted.length;
+	const newestVersion = state.accepted.length;
 	if (host.version > 0) {
-		events.push(...getRange(1, newest).map(version => ({type: 'receive-stale', host: index, version} satisfies SpreadEvent)));
+		events.push(...getRange(1, newestVersion).map(version => ({type: 'receive-stale', host: index, version} satisfies DistributionEvent)));
 	} else {
-		events.push(...getRange(host.heard + 1, newest).map(version => ({type: 'hear', host: index, version} satisfies SpreadEvent)));
+		events.push(...getRange(host.announcedVersion + 1, newestVersion).map(version => ({type: 'hear', host: index, version} satisfies DistributionEvent)));
 	}
 
 	return events;
 };
 
-/** Gets the events of all hosts. An answer of the service may be of any moment since the host asked. */
-export const getHostEvents = (state: SpreadState, bounds: SpreadBounds): SpreadEvent[] => state.hosts.flatMap((_, index) => [
+/** Returns the events of all hosts that may happen in a state. A read of the service may return the state of any time since it was sent. */
+export const getHostEvents = (state: DistributionState, bounds: DistributionBounds): DistributionEvent[] => state.hosts.flatMap((_, index) => [
 	...state.service.isDown ? [] : getServiceReads(state, index, bounds),
 	...getPeerEvents(state, index),
-	...state.crashes > 0 ? [{type: 'crash', host: index} satisfies SpreadEvent] : [],
+	...state.remainingCrashes > 0 ? [{type: 'crash', host: index} satisfies DistributionEvent] : [],
 ]);
 
-/** Puts a version in force if it is higher; a confirmation counts for the version that it names. */
-const takeVersion = (host: Host, version: number, confirmedAt: number, fault?: SpreadFault): Partial<Host> => {
-	const isTaken = version > host.version || (fault === 'takes-any-version' && version !== host.version);
-	if (isTaken) {
+/** Puts a version in force if it is higher. A confirmation counts only for the version that it came with. */
+const applyVersion = (host: Host, version: number, confirmedAt: number, fault?: DistributionFault): Partial<Host> => {
+	const isApplied = version > host.version || (fault === 'takes-any-version' && version !== host.version);
+	if (isApplied) {
 		return {
-			version, confirmedAt, ...(version < host.version && {fault: 'went-back'}),
+			version, confirmedAt, ...(version < host.version && {violation: 'went-back'}),
 		};
 	}
 
 	return version === host.version ? {confirmedAt: Math.max(host.confirmedAt, confirmedAt)} : {};
 };
 
-const applyRead = (state: SpreadState, event: Extract<SpreadEvent, {type: 'read-service'}>, bounds: SpreadBounds, fault?: SpreadFault): SpreadState => {
-	const moment = fault === 'confirms-at-receipt' ? state.accepted.length : event.askedAt;
-	return change(state, event.host, takeVersion(getHost(state, event.host), event.version, bounds.hasConfirmations ? moment : 0, fault));
+const applyRead = (state: DistributionState, event: Extract<DistributionEvent, {type: 'read-service'}>, bounds: DistributionBounds, fault?: DistributionFault): DistributionState => {
+	const time = fault === 'confirms-at-receipt' ? state.accepted.length : event.askedAt;
+	return updateHost(state, event.host, applyVersion(getHost(state, event.host), event.version, bounds.hasConfirmations ? time : 0, fault));
 };
 
-const applyAnswer = (state: SpreadState, index: number, fault?: SpreadFault): SpreadState => {
+const applyAnswer = (state: DistributionState, index: number, fault?: DistributionFault): DistributionState => {
 	const host = getHost(state, index);
-	const {version, confirmedAt} = host.answer!;
+	const {version, confirmedAt} = host.pendingAnswer!;
 	const isStarting = host.version === 0;
-	if (isStarting && version < host.heard && fault !== 'starts-from-any-answer') {
+	if (isStarting && version < host.announcedVersion && fault !== 'starts-from-any-answer') {
 		return state;
 	}
 
-	const taken = takeVersion(host, version, confirmedAt, fault);
-	return change(state, index, isStarting && version < host.heard ? {...taken, fault: 'started-below'} : taken);
+	const update = applyVersion(host, version, confirmedAt, fault);
+	return updateHost(state, index, isStarting && version < host.announcedVersion ? {...update, violation: 'started-below'} : update);
 };
 
-const applyAsk = (state: SpreadState, index: number, {hasConfirmations}: SpreadBounds, fault?: SpreadFault): SpreadState => {
-	const peer = state.hosts.find(({version}, place) => place !== index && version > 0);
+const applyPeerRequest = (state: DistributionState, index: number, {hasConfirmations}: DistributionBounds, fault?: DistributionFault): DistributionState => {
+	const peer = state.hosts.find(({version}, position) => position !== index && version > 0);
 	if (peer === undefined) {
 		return state;
 	}
 
-	const asked = change(state, index, {answer: {version: peer.version, confirmedAt: peer.confirmedAt}});
-	return hasConfirmations ? asked : change(applyAnswer(asked, index, fault), index, {answer: undefined});
+	const answered = updateHost(state, index, {pendingAnswer: {version: peer.version, confirmedAt: peer.confirmedAt}});
+	return hasConfirmations ? answered : updateHost(applyAnswer(answered, index, fault), index, {pendingAnswer: undefined});
 };
 
-const applyCrash = (state: SpreadState, index: number): SpreadState => {
-	const host: Host = {version: 0, confirmedAt: 0, heard: 0};
-	return {...state, crashes: state.crashes - 1, hosts: state.hosts.map((old, place) => place === index ? host : old)};
+const applyCrash = (state: DistributionState, index: number): DistributionState => {
+	const restarted: Host = {version: 0, confirmedAt: 0, announcedVersion: 0};
+	return {...state, remainingCrashes: state.remainingCrashes - 1, hosts: state.hosts.map((host, position) => position === index ? restarted : host)};
 };
 
-type HostEvent = Extract<SpreadEvent, {host: number}>;
+type HostEvent = Extract<DistributionEvent, {host: number}>;
 
 /** Applies an event of a host. */
-export const applyHostEvent = (state: SpreadState, event: HostEvent, bounds: SpreadBounds, fault?: SpreadFault): SpreadState => {
+export const applyHostEvent = (state: DistributionState, event: HostEvent, bounds: DistributionBounds, fault?: DistributionFault): DistributionState => {
 	switch (event.type) {
 		case 'crash': {
 			return applyCrash(state, event.host);
 		}
 
 		case 'hear': {
-			return change(state, event.host, {heard: event.version});
+			return updateHost(state, event.host, {announcedVersion: event.version});
 		}
 
 		case 'read-service': {
@@ -108,7 +108,7 @@
 		}
 
 		case 'ask-peer': {
-			return applyAsk(state, event.host, bounds, fault);
+			return applyPeerRequest(state, event.host, bounds, fault);
 		}
 
 		case 'receive-answer': {
@@ -116,17 +116,17 @@
 		}
 
 		case 'receive-stale': {
-			return change(state, event.host, takeVersion(getHost(state, event.host), event.version, 0, fault));
+			return updateHost(state, event.host, applyVersion(getHost(state, event.host), event.version, 0, fault));
 		}
 	}
 };
 
-const getTidyHost = ({answer, ...host}: Host): Host => {
-	const isUseless = answer === undefined || answer.version < host.version
-		|| (answer.version === host.version && answer.confirmedAt <= host.confirmedAt);
-	const tidy = host.version > 0 ? {...host, heard: 0} : host;
-	return isUseless ? tidy : {...tidy, answer};
+const normaliseHost = ({pendingAnswer, ...host}: Host): Host => {
+	const isObsolete = pendingAnswer === undefined || pendingAnswer.version < host.version
+		|| (pendingAnswer.version === host.version && pendingAnswer.confirmedAt <= host.confirmedAt);
+	const normalised = host.version > 0 ? {...host, announcedVersion: 0} : host;
+	return isObsolete ? normalised : {...normalised, pendingAnswer};
 };
 
-/** Drops what can no longer change a host: answers that say nothing new, and what it was told before it started. */
-export const dropOldNews = (state: SpreadState): SpreadState => ({...state, hosts: state.hosts.map(host => getTidyHost(host))});
+/** Drops state that can no longer change a host: answers that add nothing new, and the version announced to it before it started. */
+export const dropObsoleteHostState = (state: DistributionState): DistributionState => ({...state, hosts: state.hosts.map(host => normaliseHost(host))});
--- a/packages/model/src/configuration/operators.ts
+++ b/packages/model/src/configuration/operators.ts
@@ -1,30 +1,30 @@
 import type {
-	Operator, SpreadBounds, SpreadEvent, SpreadFault, SpreadState, Write,
+	Operator, DistributionBounds, DistributionEvent, DistributionFault, DistributionState, Write,
 } from './state.js';
 
-/** Replaces one operator. */
-const change = (state: SpreadState, index: number, changes: Partial<Operator>): SpreadState =>
-	({...state, operators: state.operators.map((operator, place) => place === index ? {...operator, ...changes} : operator)});
+/** Returns a state in which one operator is updated. */
+const updateOperator = (state: DistributionState, index: number, changes: Partial<Operator>): DistributionState =>
+	({...state, operators: state.operators.map((operator, position) => position === index ? {...operator, ...changes} : operator)});
 
-const getOperator = (state: SpreadState, index: number): Operator => state.operators[index]!;
+const getOperator = (state: DistributionState, index: number): Operator => state.operators[index]!;
 
-const changeWrite = (state: SpreadState, index: number, place: number, changes: Partial<Write>): SpreadState =>
-	change(state, index, {writes: getOperator(state, index).writes.map((write, at) => at === place ? {...write, ...changes} : write)});
+const updateWrite = (state: DistributionState, index: number, position: number, changes: Partial<Write>): DistributionState =>
+	updateOperator(state, index, {writes: getOperator(state, index).writes.map((write, at) => at === position ? {...write, ...changes} : write)});
 
-const getWriteEvents = (operator: Operator, index: number): SpreadEvent[] => operator.writes.flatMap((write, place) => {
-	const land: SpreadEvent[] = write.arrivals > 0 ? [{type: 'land', operator: index, write: place}] : [];
-	const isAwaited = operator.phase === 'wait' && place === operator.writes.length - 1 && write.reply !== 'none';
-	return isAwaited ? [...land, {type: 'reply', operator: index, write: place}] : land;
+const getWriteEvents = (operator: Operator, index: number): DistributionEvent[] => operator.writes.flatMap((write, position) => {
+	const land: DistributionEvent[] = write.remainingArrivals > 0 ? [{type: 'land', operator: index, write: position}] : [];
+	const isAwaited = operator.phase === 'wait' && position === operator.writes.length - 1 && write.reply !== 'none';
+	return isAwaited ? [...land, {type: 'reply', operator: index, write: position}] : land;
 });
 
-const getPhaseEvents = ({phase, made, isWritten}: Operator, index: number, {service: {isDown}}: SpreadState, bounds: SpreadBounds): SpreadEvent[] => {
+const getPhaseEvents = ({phase, writesMade, hasUncertainWrite}: Operator, index: number, {service: {isDown}}: DistributionState, bounds: DistributionBounds): DistributionEvent[] => {
 	switch (phase) {
 		case 'start': {
 			return isDown ? [] : [{type: 'read', operator: index}];
 		}
 
 		case 'write': {
-			return made < bounds.writes ? [{type: 'write', operator: index}] : [{type: 'give-up', operator: index}];
+			return writesMade < bounds.maxWrites ? [{type: 'write', operator: index}] : [{type: 'give-up', operator: index}];
 		}
 
 		case 'wait': {
@@ -32,8 +32,8 @@
 		}
 
 		case 'settle': {
-			const giveUp: SpreadEvent = {type: 'give-up', operator: index};
-			return isDown ? [giveUp] : [{type: 'settle', operator: index}, ...isWritten ? [giveUp] : []];
+			const giveUp: DistributionEvent = {type: 'give-up', operator: index};
+			return isDown ? [giveUp] : [{type: 'settle', operator: index}, ...hasUncertainWrite ? [giveUp] : []];
 		}
 
 		case 'applied':
@@ -45,22 +45,22 @@
 	}
 };
 
-/** Gets the events of all operators. */
-export const getOperatorEvents = (state: SpreadState, bounds: SpreadBounds): SpreadEvent[] => state.operators.flatMap((operator, index) => [
+/** Returns the events of all operators that may happen in a state. */
+export const getOperatorEvents = (state: DistributionState, bounds: DistributionBounds): DistributionEvent[] => state.operators.flatMap((operator, index) => [
 	...getPhaseEvents(operator, index, state, bounds),
 	...state.service.isDown ? [] : getWriteEvents(operator, index),
 ]);
 
-/** Applies a write that reaches the service: it takes effect only at the revision that it expects. */
-export const applyLanding = (state: SpreadState, index: number, place: number, fault?: SpreadFault): SpreadState => {
-	const write = getOperator(state, index).writes[place]!;
-	const arrivals = write.arrivals - 1;
+/** Applies a write that reaches the service; it takes effect only at the revision that it expects. */
+export const applyLanding = (state: DistributionState, index: number, position: number, fault?: DistributionFault): DistributionState => {
+	const write = getOperator(state, index).writes[position]!;
+	const remainingArrivals = write.remainingArrivals - 1;
 	if (write.expected !== state.service.revision && fault !== 'ignores-revision') {
-		return changeWrite(state, index, place, {arrivals, reply: 'rejected'});
+		return updateWrite(state, index, position, {remainingArrivals, reply: 'rejected'});
 	}
 
 	const {version, token} = write;
-	const landed = changeWrite(state, index, place, {arrivals, reply: 'applied'});
+	const landed = updateWrite(state, index, position, {remainingArrivals, reply: 'applied'});
 	return {
 		...landed,
 		service: {
@@ -70,51 +70,51 @@
 	};
 };
 
-/** Applies what an operator decides after it has read the service again. */
-export const applySettling = (state: SpreadState, index: number, fault?: SpreadFault): SpreadState => {
-	const {token, base, isWritten} = getOperator(state, index);
+/** Applies the decision of an operator that has read the service again after a write. */
+export const applySettlement = (state: DistributionState, index: number, fault?: DistributionFault): DistributionState => {
+	const {token, base, hasUncertainWrite} = getOperator(state, index);
 	const {service} = state;
 	if (service.token === token) {
-		return change(state, index, {phase: 'applied'});
+		return updateOperator(state, index, {phase: 'applied'});
 	}
 
 	if (service.version === base) {
-		return change(state, index, {phase: fault === 'trusts-read-back' ? 'unavailable' : 'write', revision: service.revision});
+		return updateOperator(state, index, {phase: fault === 'trusts-read-back' ? 'unavailable' : 'write', revision: service.revision});
 	}
 
-	const isLooked = isWritten && service.version > base + 1;
+	const needsSuccessor = hasUncertainWrite && service.version > base + 1;
 	const successor = state.accepted.find(({version}) => version === base + 1);
-	return change(state, index, {phase: isLooked && successor?.token === token ? 'applied' : 'conflict'});
+	return updateOperator(state, index, {phase: needsSuccessor && successor?.token === token ? 'applied' : 'conflict'});
 };
 
-const applyReply = (state: SpreadState, index: number, place: number, fault?: SpreadFault): SpreadState => {
-	const {writes, isWritten} = getOperator(state, index);
-	return writes[place]!.reply === 'applied'
-		? change(state, index, {phase: 'applied'})
-		: change(state, index, {phase: 'settle', isWritten: fault === 'trusts-rejection' ? isWritten : true});
+const applyReply = (state: DistributionState, index: number, position: number, fault?: DistributionFault): DistributionState => {
+	const {writes, hasUncertainWrite} = getOperator(state, index);
+	return writes[position]!.reply === 'applied'
+		? updateOperator(state, index, {phase: 'applied'})
+		: updateOperator(state, index, {phase: 'settle', hasUncertainWrite: fault === 'trusts-rejection' ? hasUncertainWrite : true});
 };
 
-/** Applies an operator's write: it is under way from now on. */
-export const applyWrite = (state: SpreadState, index: number, arrivals: number): SpreadState => {
-	const {token, base, revision, writes, made} = getOperator(state, index);
+/** Sends a write of an operator to the service. */
+export const applyWrite = (state: DistributionState, index: number, maxArrivals: number): DistributionState => {
+	const {token, base, revision, writes, writesMade} = getOperator(state, index);
 	const write: Write = {
-		token, version: base + 1, expected: revision, reply: 'none', arrivals,
+		token, version: base + 1, expected: revision, reply: 'none', remainingArrivals: maxArrivals,
 	};
-	return change(state, index, {phase: 'wait', writes: [...writes, write], made: made + 1});
+	return updateOperator(state, index, {phase: 'wait', writes: [...writes, write], writesMade: writesMade + 1});
 };
 
-type OperatorEvent = Extract<SpreadEvent, {operator: number}>;
+type OperatorEvent = Extract<DistributionEvent, {operator: number}>;
 
 /** Applies an event of an operator. */
-export const applyOperatorEvent = (state: SpreadState, event: OperatorEvent, {arrivals}: SpreadBounds, fault?: SpreadFault): SpreadState => {
+export const applyOperatorEvent = (state: DistributionState, event: OperatorEvent, {maxArrivals}: DistributionBounds, fault?: DistributionFault): DistributionState => {
 	const {operator: index} = event;
 	switch (event.type) {
 		case 'read': {
-			return change(state, index, {phase: 'write', base: state.service.version, revision: state.service.revision});
+			return updateOperator(state, index, {phase: 'write', base: state.service.version, revision: state.service.revision});
 		}
 
 		case 'write': {
-			return applyWrite(state, index, arrivals);
+			return applyWrite(state, index, maxArrivals);
 		}
 
 		case 'land': {
@@ -126,26 +126,26 @@
 		}
 
 		case 'lose-reply': {
-			return change(state, index, {phase: 'settle', isWritten: true});
+			return updateOperator(state, index, {phase: 'settle', hasUncertainWrite: true});
 		}
 
 		case 'settle': {
-			return applySettling(state, index, fault);
+			return applySettlement(state, index, fault);
 		}
 
 		case 'give-up': {
-			return change(state, index, {phase: getOperator(state, index).isWritten ? 'unknown' : 'unavailable'});
+			return updateOperator(state, index, {phase: getOperator(state, index).hasUncertainWrite ? 'unknown' : 'unavailable'});
 		}
 	}
 };
 
-/** Drops the writes that can no longer take effect and that nobody waits for, since the revision only rises. */
-export const dropLostWrites = (state: SpreadState): SpreadState => ({
+/** Drops the writes that can no longer take effect, as the revision only rises, unless an operator awaits their reply. */
+export const dropObsoleteWrites = (state: DistributionState): DistributionState => ({
 	...state,
 	operators: state.operators.map(operator => ({
 		...operator,
-		writes: operator.writes.filter((write, place) =>
-			(write.arrivals > 0 && write.expected === state.service.revision)
-			|| (operator.phase === 'wait' && place === operator.writes.length - 1)),
+		writes: operator.writes.filter((write, position) =>
+			(write.remainingArrivals > 0 && write.expected === state.service.revision)
+			|| (operator.phase === 'wait' && position === operator.writes.length - 1)),
 	})),
 });
--- a/packages/model/src/configuration/specification.ts
+++ b/packages/model/src/configuration/specification.ts
@@ -1,14 +1,14 @@
 import type {Invariant, Specification} from '../specification.js';
-import {applyHostEvent, dropOldNews, getHostEvents} from './hosts.js';
-import {applyOperatorEvent, dropLostWrites, getOperatorEvents} from './operators.js';
+import {applyHostEvent, dropObsoleteHostState, getHostEvents} from './hosts.js';
+import {applyOperatorEvent, dropObsoleteWrites, getOperatorEvents} from './operators.js';
 import {
-	createInitial, type SpreadBounds, type SpreadEvent, type SpreadFault, type SpreadState,
+	createInitialState, type DistributionBounds, type DistributionEvent, type DistributionFault, type DistributionState,
 } from './state.js';
 
-const stateLimit = 100_000;
+const maxStates = 100_000;
 
-/** What is promised of the configuration. */
-export const spreadInvariants: Array<Invariant<SpreadState>> = [
+/** Invariants of accepting and distributing configuration versions. */
+export const distributionInvariants: Array<Invariant<DistributionState>> = [
 	{
 		name: 'accepted versions form one order',
 		holds: ({accepted}) => accepted.every(({version}, index) => version === index + 1),
@@ -32,11 +32,11 @@
 	},
 	{
 		name: 'a host never goes back',
-		holds: ({hosts}) => hosts.every(({fault}) => fault !== 'went-back'),
+		holds: ({hosts}) => hosts.every(({violation}) => violation !== 'went-back'),
 	},
 	{
 		name: 'a host never starts below a version that it was told of',
-		holds: ({hosts}) => hosts.every(({fault}) => fault !== 'started-below'),
+		holds: ({hosts}) => hosts.every(({violation}) => violation !== 'started-below'),
 	},
 	{
 		name: 'a confirmed version was the newest at that moment',
@@ -44,31 +44,31 @@
 	},
 ];
 
-const getEvents = (state: SpreadState, bounds: SpreadBounds): SpreadEvent[] => {
-	const changes: SpreadEvent[] = state.service.isDown ? [{type: 'recovery'}] : [];
-	if (!state.service.isDown && state.outages > 0) {
+const getEvents = (state: DistributionState, bounds: DistributionBounds): DistributionEvent[] => {
+	const changes: DistributionEvent[] = state.service.isDown ? [{type: 'recovery'}] : [];
+	if (!state.service.isDown && state.remainingOutages > 0) {
 		changes.push({type: 'outage'});
 	}
 
-	if (!state.service.isDown && state.acceptances > 0) {
+	if (!state.service.isDown && state.remainingAcceptances > 0) {
 		changes.push({type: 'accept'});
 	}
 
 	return [...changes, ...getOperatorEvents(state, bounds), ...getHostEvents(state, bounds)];
 };
 
-const applyAcceptance = (state: SpreadState): SpreadState => {
-	const {service, accepted, acceptances} = state;
-	const added = {version: service.version + 1, token: `other-${acceptances}`};
+const applyAcceptance = (state: DistributionState): DistributionState => {
+	const {service, accepted, remainingAcceptances} = state;
+	const added = {version: service.version + 1, token: `other-${remainingAcceptances}`};
 	return {
-		...state, service: {...service, ...added, revision: service.revision + 1}, accepted: [...accepted, added], acceptances: acceptances - 1,
+		...state, service: {...service, ...added, revision: service.revision + 1}, accepted: [...accepted, added], remainingAcceptances: remainingAcceptances - 1,
 	};
 };
 
-const apply = (state: SpreadState, event: SpreadEvent, bounds: SpreadBounds, fault?: SpreadFault): SpreadState => {
+const apply = (state: DistributionState, event: DistributionEvent, bounds: DistributionBounds, fault?: DistributionFault): DistributionState => {
 	if (event.type === 'outage' || event.type === 'recovery') {
 		const isDown = event.type === 'outage';
-		return {...state, service: {...state.service, isDown}, outages: state.outages - (isDown ? 1 : 0)};
+		return {...state, service: {...state.service, isDown}, remainingOutages: state.remainingOutages - (isDown ? 1 : 0)};
 	}
 
 	if (event.type === 'accept') {
@@ -78,14 +78,14 @@
 	return 'operator' in event ? applyOperatorEvent(state, event, bounds, fault) : applyHostEvent(state, event, bounds, fault);
 };
 
-/** Creates the specification of how a configuration is accepted and spreads, with a fault in it if wanted. */
-export const createSpreadSpecification = (bounds: SpreadBounds, fault?: SpreadFault): Specification<SpreadState, SpreadEvent> => ({
-	initial: createInitial(bounds),
+/** Creates the specification of how configuration versions are accepted and distributed, with a fault in it if one is given. */
+export const createDistributionSpecification = (bounds: DistributionBounds, fault?: DistributionFault): Specification<DistributionState, DistributionEvent> => ({
+	initial: createInitialState(bounds),
 	getEvents: state => getEvents(state, bounds),
 	apply(state, event) {
 		const next = apply(state, event, bounds, fault);
-		return dropOldNews(fault === 'ignores-revision' ? next : dropLostWrites(next));
+		return dropObsoleteHostState(fault === 'ignores-revision' ? next : dropObsoleteWrites(next));
 	},
-	invariants: spreadInvariants,
-	maxStates: stateLimit,
+	invariants: distributionInvariants,
+	maxStates,
 });
--- a/packages/model/src/configuration/state.ts
+++ b/packages/model/src/configuration/state.ts
@@ -1,68 +1,68 @@
-/** An accepted version: its number and the operator whose publication it is. */
-export type Accepted = {version: number; token: string};
+/** Accepted version: its number and the token of its publication. */
+export type AcceptedVersion = {version: number; token: string};
 
-/** A write under way, which lands now, later, twice or never. */
+/** Write in flight, which reaches the service now, later, twice or never. */
 export type Write = {
 	token: string;
 	version: number;
 	/** Revision that the write expects. */
 	expected: number;
 	reply: 'none' | 'applied' | 'rejected';
-	/** Times that the write may still reach the service. */
-	arrivals: number;
+	/** Number of times that the write may still reach the service. */
+	remainingArrivals: number;
 };
 
-/** What an operator's command does next. */
+/** Next step of an operator's command, or its outcome. */
 export type OperatorPhase = 'start' | 'write' | 'wait' | 'settle' | 'applied' | 'conflict' | 'unavailable' | 'unknown';
 
-/** An operator's command that publishes one configuration. */
+/** Command of an operator that publishes one configuration. */
 export type Operator = {
 	token: string;
 	phase: OperatorPhase;
-	/** Version that the change is made from. */
+	/** Version on which the publication is based. */
 	base: number;
-	/** Revision that was read. */
+	/** Revision that the operator read last. */
 	revision: number;
-	/** Whether a write may have taken effect. */
-	isWritten: boolean;
-	/** Writes that may still matter. */
+	/** Whether an earlier write may have taken effect. */
+	hasUncertainWrite: boolean;
+	/** Writes that may still take effect or be answered. */
 	writes: Write[];
-	/** Number of writes made. */
-	made: number;
+	/** Number of writes that the operator has sent. */
+	writesMade: number;
 };
 
-/** An answer of a peer that is under way. */
-export type Answer = {version: number; confirmedAt: number};
+/** Answer of a peer in flight. */
+export type PeerAnswer = {version: number; confirmedAt: number};
 
-/** A host. Moments are counted by the number of versions accepted so far. */
+/** State of a host. A time is given as the number of versions accepted up to it. */
 export type Host = {
 	/** Version in force; 0 while it is starting. */
 	version: number;
-	/** Moment at which the version was last known to be the newest; 0 if never. */
+	/** Time at which the version was last known to be the newest; 0 if never. */
 	confirmedAt: number;
-	/** Highest version that the host was told of. */
-	heard: number;
-	answer?: Answer;
-	/** Set once a rule was broken. */
-	fault?: 'went-back' | 'started-below';
+	/** Highest version that was announced to the host while it is starting. */
+	announcedVersion: number;
+	pendingAnswer?: PeerAnswer;
+	/** Set once the host has broken a rule. */
+	violation?: 'went-back' | 'started-below';
 };
 
-/** The service, the operators and the hosts. */
-export type SpreadState = {
+/** State of the key-value service, the operators and the hosts. */
+export type DistributionState = {
 	service: {revision: number; version: number; token: string; isDown: boolean};
-	/** Every write that took effect, in order. */
-	accepted: Accepted[];
+	/** Versions of all writes that took effect, in order. */
+	accepted: AcceptedVersion[];
 	operators: Operator[];
 	hosts: Host[];
-	/** Crashes and outages that may still happen. */
-	crashes: number;
-	outages: number;
-	/** Versions of operators outside of the specification that may still be accepted. */
-	acceptances: number;
+	/** Numbers of crashes and outages that may still happen. */
+	remainingCrashes: number;
+	remainingOutages: number;
+	/** Number of versions from other operators, which aren't modelled, that may still be accepted. */
+	remainingAcceptances: number;
 };
 
-/** One step of anything. */
-export type SpreadEvent
+/** Events of operators, hosts and the key-value service. */
+export type DistributionEvent
 	= | {type: 'read'; operator: number}
 		| {type: 'write'; operator: number}
 		| {type: 'land'; operator: number; write: number}
@@ -80,38 +80,38 @@
 		| {type: 'outage'}
 		| {type: 'recovery'};
 
-/** A fault put into the specification to show that it is caught. */
-export type SpreadFault = 'trusts-read-back' | 'trusts-rejection' | 'ignores-revision' | 'takes-any-version' | 'confirms-at-receipt' | 'starts-from-any-answer';
+/** Fault put into the specification, to show that the invariants catch it. */
+export type DistributionFault = 'trusts-read-back' | 'trusts-rejection' | 'ignores-revision' | 'takes-any-version' | 'confirms-at-receipt' | 'starts-from-any-answer';
 
-/** Bounds of an exploration. */
-export type SpreadBounds = {
-	operators: number;
-	hosts: number;
-	crashes: number;
-	outages: number;
-	/** Versions that are accepted without one of the operators. */
-	acceptances: number;
-	/** Writes that each operator may make. */
-	writes: number;
-	/** Times that each write may reach the service. */
-	arrivals: number;
-	/** Whether confirmations and answers of peers under way are part of the state. */
+/** Bounds that keep the exploration finite. */
+export type DistributionBounds = {
+	operatorCount: number;
+	hostCount: number;
+	maxCrashes: number;
+	maxOutages: number;
+	/** Number of versions that are accepted from other operators, which aren't modelled. */
+	maxAcceptances: number;
+	/** Number of writes that each operator may send. */
+	maxWrites: number;
+	/** Number of times that each write may reach the service. */
+	maxArrivals: number;
+	/** Whether confirmations and answers of peers in flight are part of the state. */
 	hasConfirmations: boolean;
 };
 
-/** Creates the state before anything has happened: one version is accepted, and every host has it in force. */
-export const createInitial = (bounds: SpreadBounds): SpreadState => ({
+/** Creates the initial state: one version is accepted, and every host has it in force. */
+export const createInitialState = (bounds: DistributionBounds): DistributionState => ({
 	service: {
 		revision: 1, version: 1, token: 'first', isDown: false,
 	},
 	accepted: [{version: 1, token: 'first'}],
-	operators: Array.from({length: bounds.operators}, (_, index) => ({
-		token: `operator-${index}`, phase: 'start', base: 0, revision: 0, isWritten: false, writes: [], made: 0,
+	operators: Array.from({length: bounds.operatorCount}, (_, index) => ({
+		token: `operator-${index}`, phase: 'start', base: 0, revision: 0, hasUncertainWrite: false, writes: [], writesMade: 0,
 	})),
-	hosts: Array.from({length: bounds.hosts}, () => ({
-		version: 1, confirmedAt: bounds.hasConfirmations ? 1 : 0, heard: 0,
+	hosts: Array.from({length: bounds.hostCount}, () => ({
+		version: 1, confirmedAt: bounds.hasConfirmations ? 1 : 0, announcedVersion: 0,
 	})),
-	crashes: bounds.crashes,
-	outages: bounds.outages,
-	acceptances: bounds.acceptances,
+	remainingCrashes: bounds.maxCrashes,
+	remainingOutages: bounds.maxOutages,
+	remainingAcceptances: bounds.maxAcceptances,
 });
