--- a/packages/model/src/leases/apply.ts
+++ b/packages/model/src/leases/apply.ts
@@ -1,54 +1,54 @@
 import {
-	getIdle, type EngineState, type HostName, type HostState, type LateWrite, type Lease, type LeaseEvent, type LeaseFault, type LeaseState, type LeaseVariant, type Order, type ReplyKind,
+	createIdleHost, type EngineState, type HostName, type HostState, type LateWrite, type Lease, type LeaseEvent, type LeaseFault, type LeaseState, type LeaseVariant, type Order, type ReplyKind,
 } from './state.js';
 
-const setHost = (state: LeaseState, host: HostName, change: Partial<HostState>): LeaseState =>
+const updateHost = (state: LeaseState, host: HostName, change: Partial<HostState>): LeaseState =>
 	({...state, hosts: {...state.hosts, [host]: {...state.hosts[host], ...change}}});
 
-const setLease = (state: LeaseState, index: number, change: Partial<Lease>): LeaseState =>
-	({...state, leases: state.leases.map((lease, at) => at === index ? {...lease, ...change} : lease)});
+const updateLease = (state: LeaseState, index: number, change: Partial<Lease>): LeaseState =>
+	({...state, leases: state.leases.map((lease, position) => position === index ? {...lease, ...change} : lease)});
 
-const useFault = (state: LeaseState): LeaseState => ({...state, faultsLeft: state.faultsLeft - 1});
+const consumeFault = (state: LeaseState): LeaseState => ({...state, remainingFaults: state.remainingFaults - 1});
 
-const without = <Item>(items: Item[], index: number): Item[] => items.filter((_, at) => at !== index);
+const removeAt = <Item>(items: Item[], index: number): Item[] => items.filter((_, position) => position !== index);
 
-/** Takes a lease as ended at its host. */
-const disbelieve = (state: LeaseState, host: HostName): LeaseState => setLease(state, state.hosts[host].lease, {isBelieved: false});
+/** Marks the lease of a host as ended in the host's own view. */
+const invalidateForHolder = (state: LeaseState, host: HostName): LeaseState => updateLease(state, state.hosts[host].lease, {isValidForHolder: false});
 
-const giveUp = (state: LeaseState, host: HostName): LeaseState => setHost(disbelieve(state, host), host, {phase: 'ending'});
+const abandonLease = (state: LeaseState, host: HostName): LeaseState => updateHost(invalidateForHolder(state, host), host, {phase: 'ending'});
 
-const writeAt = (state: LeaseState, write: LateWrite): {state: LeaseState; isApplied: boolean} => {
+const applyToService = (state: LeaseState, write: LateWrite): {state: LeaseState; isApplied: boolean} => {
 	switch (write.kind) {
 		case 'holder': {
 			const isApplied = state.holder === -1 && (state.leases[write.lease]?.isAlive ?? false);
-			const turns = state.turns + 1;
-			return {isApplied, state: isApplied ? {...setLease(state, write.lease, {turn: turns}), holder: write.lease, turns} : state};
+			const acquisitions = state.acquisitions + 1;
+			return {isApplied, state: isApplied ? {...updateLease(state, write.lease, {acquisitionNumber: acquisitions}), holder: write.lease, acquisitions} : state};
 		}
 
 		case 'fencing': {
-			const isApplied = state.fencing === write.expected;
-			return {isApplied, state: isApplied ? {...state, fencing: write.expected + 1} : state};
+			const isApplied = state.fencingNumber === write.expected;
+			return {isApplied, state: isApplied ? {...state, fencingNumber: write.expected + 1} : state};
 		}
 	}
 };
 
-type Write = {host: HostName; write: LateWrite; reply: ReplyKind; onApplied: (state: LeaseState) => LeaseState; fault: LeaseFault | undefined};
+type WriteAttempt = {host: HostName; write: LateWrite; reply: ReplyKind; onApplied: (state: LeaseState) => LeaseState; fault: LeaseFault | undefined};
 
-const applyWrite = (state: LeaseState, {host, write, reply, onApplied, fault}: Write): LeaseState => {
+const applyWrite = (state: LeaseState, {host, write, reply, onApplied, fault}: WriteAttempt): LeaseState => {
 	const onUnknown = (next: LeaseState): LeaseState =>
-		useFault(fault === 'unknown-is-applied' ? onApplied(next) : giveUp(next, host));
+		consumeFault(fault === 'unknown-is-applied' ? onApplied(next) : abandonLease(next, host));
 	switch (reply) {
 		case 'arrives': {
-			const written = writeAt(state, write);
-			return written.isApplied ? onApplied(written.state) : giveUp(written.state, host);
+			const written = applyToService(state, write);
+			return written.isApplied ? onApplied(written.state) : abandonLease(written.state, host);
 		}
 
 		case 'lost-applied': {
-			return onUnknown(writeAt(state, write).state);
+			return onUnknown(applyToService(state, write).state);
 		}
 
 		case 'lost-late': {
-			return onUnknown({...state, late: [...state.late, write]});
+			return onUnknown({...state, lateWrites: [...state.lateWrites, write]});
 		}
 
 		case 'lost-dropped': {
@@ -59,81 +59,81 @@
 
 const applyGrant = (state: LeaseState, host: HostName): LeaseState => {
 	const lease: Lease = {
-		host, isAlive: true, isBelieved: true, turn: 0, number: 0,
+		host, isAlive: true, isValidForHolder: true, acquisitionNumber: 0, fencingNumber: 0,
 	};
 	const next = {...state, leases: [...state.leases, lease]};
-	return setHost(next, host, {phase: 'granted', lease: state.leases.length});
+	return updateHost(next, host, {phase: 'granted', lease: state.leases.length});
 };
 
 const applyRaise = (state: LeaseState, {host, reply}: {host: HostName; reply: ReplyKind}, fault?: LeaseFault): LeaseState => {
-	const {read, lease} = state.hosts[host];
-	const number = read + 1;
+	const {readFencingNumber, lease} = state.hosts[host];
+	const fencingNumber = readFencingNumber + 1;
 	const onApplied = (next: LeaseState): LeaseState =>
-		setLease(setHost(next, host, {phase: 'held', number}), lease, {number});
+		updateLease(updateHost(next, host, {phase: 'held', fencingNumber}), lease, {fencingNumber});
 	return fault === 'number-not-raised'
 		? onApplied(state)
 		: applyWrite(state, {
-			host, write: {kind: 'fencing', expected: read}, reply, onApplied, fault,
+			host, write: {kind: 'fencing', expected: readFencingNumber}, reply, onApplied, fault,
 		});
 };
 
 const endLease = (state: LeaseState, lease: number): LeaseState =>
-	({...setLease(state, lease, {isAlive: false}), holder: state.holder === lease ? -1 : state.holder});
+	({...updateLease(state, lease, {isAlive: false}), holder: state.holder === lease ? -1 : state.holder});
 
 const applyEnd = (state: LeaseState, {host, isLost}: {host: HostName; isLost: boolean}): LeaseState => {
-	const {lease, cleared} = state.hosts[host];
-	const ended = isLost ? useFault(state) : endLease(state, lease);
-	return setHost(ended, host, getIdle(cleared));
+	const {lease, approvedOrders} = state.hosts[host];
+	const ended = isLost ? consumeFault(state) : endLease(state, lease);
+	return updateHost(ended, host, createIdleHost(approvedOrders));
 };
 
 const applyExpire = (state: LeaseState, host: HostName, fault?: LeaseFault): LeaseState => {
-	const expired = disbelieve(state, host);
-	const {phase, cleared} = state.hosts[host];
-	return phase === 'held' && fault !== 'no-validity-check' ? setHost(expired, host, getIdle(cleared)) : expired;
+	const expired = invalidateForHolder(state, host);
+	const {phase, approvedOrders} = state.hosts[host];
+	return phase === 'held' && fault !== 'no-validity-check' ? updateHost(expired, host, createIdleHost(approvedOrders)) : expired;
 };
 
-const carryOut = (engine: EngineState, order: Order, leases: Lease[], isRefused: boolean): EngineState => {
-	if (isRefused || engine.done.includes(order.lease)) {
+const executeOrder = (engine: EngineState, order: Order, leases: Lease[], isRefused: boolean): EngineState => {
+	if (isRefused || engine.executedLeases.includes(order.lease)) {
 		return engine;
 	}
 
-	const getTurn = (lease: number): number => leases[lease]?.turn ?? 0;
+	const getAcquisitionNumber = (lease: number): number => leases[lease]?.acquisitionNumber ?? 0;
 	return {
-		highest: Math.max(engine.highest, order.number),
-		done: [...engine.done, order.lease],
-		hasRegressed: engine.hasRegressed || engine.done.some(lease => getTurn(lease) > getTurn(order.lease)),
+		highestFencingNumber: Math.max(engine.highestFencingNumber, order.fencingNumber),
+		executedLeases: [...engine.executedLeases, order.lease],
+		hasExecutedOutOfOrder: engine.hasExecutedOutOfOrder || engine.executedLeases.some(lease => getAcquisitionNumber(lease) > getAcquisitionNumber(order.lease)),
 	};
 };
 
 const applyDeliver = (state: LeaseState, {index, isRepeated}: {index: number; isRepeated: boolean}, {fencing, fault}: LeaseVariant): LeaseState => {
-	const order = state.orders[index];
+	const order = state.ordersInFlight[index];
 	if (order === undefined) {
 		return state;
 	}
 
 	const {engine} = state;
-	const isRefused = fencing === 'checked' && fault !== 'no-engine-check' && order.number < engine.highest;
-	const next = {...state, engine: carryOut(engine, order, state.leases, isRefused)};
-	return isRepeated ? useFault(next) : {...next, orders: without(state.orders, index)};
+	const isRefused = fencing === 'checked' && fault !== 'no-engine-check' && order.fencingNumber < engine.highestFencingNumber;
+	const next = {...state, engine: executeOrder(engine, order, state.leases, isRefused)};
+	return isRepeated ? consumeFault(next) : {...next, ordersInFlight: removeAt(state.ordersInFlight, index)};
 };
 
 const applySend = (state: LeaseState, host: HostName, index: number): LeaseState => {
-	const {cleared} = state.hosts[host];
-	const order = cleared[index];
-	return order === undefined ? state : {...setHost(state, host, {cleared: without(cleared, index)}), orders: [...state.orders, order]};
+	const {approvedOrders} = state.hosts[host];
+	const order = approvedOrders[index];
+	return order === undefined ? state : {...updateHost(state, host, {approvedOrders: removeAt(approvedOrders, index)}), ordersInFlight: [...state.ordersInFlight, order]};
 };
 
 const applyLate = (state: LeaseState, index: number): LeaseState => {
-	const write = state.late[index];
-	return write === undefined ? state : {...writeAt(state, write).state, late: without(state.late, index)};
+	const write = state.lateWrites[index];
+	return write === undefined ? state : {...applyToService(state, write).state, lateWrites: removeAt(state.lateWrites, index)};
 };
 
-/** Applies an event to a state in which it may happen. */
+/** Applies an event to a state in which it may happen; `getLeaseEvents` returns these events. */
 export const applyLeaseEvent = (state: LeaseState, event: LeaseEvent, variant: LeaseVariant): LeaseState => {
 	const {fault} = variant;
 	switch (event.type) {
 		case 'read': {
-			return setHost(state, event.host, {phase: 'read', read: state.fencing});
+			return updateHost(state, event.host, {phase: 'read', readFencingNumber: state.fencingNumber});
 		}
 
 		case 'grant': {
@@ -143,7 +143,7 @@
 		case 'take': {
 			const {host, reply} = event;
 			return applyWrite(state, {
-				host, reply, fault, write: {kind: 'holder', lease: state.hosts[host].lease}, onApplied: next => setHost(next, host, {phase: 'holding'}),
+				host, reply, fault, write: {kind: 'holder', lease: state.hosts[host].lease}, onApplied: next => updateHost(next, host, {phase: 'holding'}),
 			});
 		}
 
@@ -160,7 +160,7 @@
 		}
 
 		case 'crash': {
-			return useFault(setHost(disbelieve(state, event.host), event.host, getIdle()));
+			return consumeFault(updateHost(invalidateForHolder(state, event.host), event.host, createIdleHost()));
 		}
 
 		case 'lapse': {
@@ -172,13 +172,13 @@
 		}
 
 		case 'wait': {
-			return setHost(state, event.host, {hasWaited: true});
+			return updateHost(state, event.host, {hasWaited: true});
 		}
 
 		case 'check': {
 			const {host} = event;
-			const {cleared, lease, number} = state.hosts[host];
-			return setHost(state, host, {cleared: [...cleared, {lease, number}]});
+			const {approvedOrders, lease, fencingNumber} = state.hosts[host];
+			return updateHost(state, host, {approvedOrders: [...approvedOrders, {lease, fencingNumber}]});
 		}
 
 		case 'send': {
@@ -190,7 +190,7 @@
 		}
 
 		case 'lose': {
-			return useFault({...state, orders: without(state.orders, event.index)});
+			return consumeFault({...state, ordersInFlight: removeAt(state.ordersInFlight, event.index)});
 		}
 	}
 };
--- a/packages/model/src/leases/checks.ts
+++ b/packages/model/src/leases/checks.ts
@@ -3,12 +3,12 @@
 import {createLeaseSpecification, leaseInvariants} from './specification.js';
 import {leaseFaults, type LeaseFault, type LeaseVariant} from './state.js';
 
-/** Variants that have to hold: many faults over two leases, and three leases without. */
+/** Variants that have to hold: two leases with up to two faults, and three leases without faults. */
 const variants: LeaseVariant[] = [
-	{fencing: 'checked', leases: 2, faults: 2},
-	{fencing: 'checked', leases: 3, faults: 0},
-	{fencing: 'ignored', leases: 2, faults: 2},
-	{fencing: 'ignored', leases: 3, faults: 0},
+	{fencing: 'checked', maxLeases: 2, maxFaults: 2},
+	{fencing: 'checked', maxLeases: 3, maxFaults: 0},
+	{fencing: 'ignored', maxLeases: 2, maxFaults: 2},
+	{fencing: 'ignored', maxLeases: 3, maxFaults: 0},
 ];
 
 const caughtBy: Record<LeaseFault, string> = {
@@ -23,17 +23,17 @@
 const getFencing = (fault: LeaseFault): LeaseVariant['fencing'] =>
 	fault === 'no-wait' || fault === 'no-validity-check' ? 'ignored' : 'checked';
 
-/** Checks of leases with fencing: the specification holds, and each fault in it is caught. */
+/** Checks of leases with fencing: the specification holds, and each fault put into it is caught. */
 export const leaseChecks: Check[] = [
 	...variants.map(variant => ({
-		name: `leases, numbers ${variant.fencing}, ${variant.leases} leases, ${variant.faults} faults`,
+		name: `leases, numbers ${variant.fencing}, ${variant.maxLeases} leases, ${variant.maxFaults} faults`,
 		explore: () => explore(createLeaseSpecification(variant)),
 	})),
 	...leaseFaults.map(fault => ({
 		name: `leases with fault ${fault}`,
 		caughtBy: caughtBy[fault],
 		explore: () => explore(createLeaseSpecification({
-			fencing: getFencing(fault), fault, leases: 2, faults: 1,
+			fencing: getFencing(fault), fault, maxLeases: 2, maxFaults: 1,
 		})),
 	})),
 ];
--- a/packages/model/src/leases/replay.ts
+++ b/packages/model/src/leases/replay.ts
@@ -11,55 +11,55 @@
 	hosts, type HostName, type LeaseEvent, type Order, type ReplyKind,
 } from './state.js';
 
-type Write = Parameters<KeyValueService['compareAndSwap']>[0];
+type CompareAndSwap = Parameters<KeyValueService['compareAndSwap']>[0];
 
-/** A host that runs the real functions; each of its calls waits until a step of the trace lets it through. */
+/** Host that runs the code of the placement package; each of its service calls blocks until an event of the trace releases it. */
 type Host = {
 	clock: ManualClock;
-	waiting: Array<() => void>;
+	blockedCalls: Array<() => void>;
 	reply: ReplyKind;
 	isEndLost: boolean;
 	outcome: Promise<AcquireOutcome> | undefined;
 	term: Term | undefined;
-	cleared: Order[];
-	/** Rises with each crash, so that a call from before it never goes on. */
-	life: number;
+	approvedOrders: Order[];
+	/** Incremented at each crash, so that a call from before the crash never continues. */
+	incarnation: number;
 };
 
-/** The real functions under the events of a trace. */
+/** The code of the placement package, driven by the events of a trace. */
 export type Replay = {
 	apply: (event: LeaseEvent) => Promise<void>;
-	/** What the specification's state is compared with. */
+	/** Returns the view that has to equal that of the specification's state. */
 	getView: () => Promise<ReplayView>;
 };
 
-/** What can be seen of the real functions and the service. */
-export type ReplayView = {fencing: number; isHolderTaken: boolean; numbers: Record<HostName, number>; mayOrder: Record<HostName, boolean>; done: number[]};
+/** Observable state of the hosts, the key-value service and the engine. */
+export type ReplayView = {fencingNumber: number; isHolderTaken: boolean; fencingNumbers: Record<HostName, number>; isOrderAllowed: Record<HostName, boolean>; executedLeases: number[]};
 
-const order: EngineOrder = {kind: 'change-role', role: 'mixed'};
-const settleRounds = 50;
+const engineOrder: EngineOrder = {kind: 'change-role', role: 'mixed'};
+const flushRounds = 50;
 
-const settle = async (): Promise<void> => {
-	for (let round = 0; round < settleRounds; round++) {
-		// eslint-disable-next-line no-await-in-loop -- Each round lets one more step of a promise chain run.
+const flushPromises = async (): Promise<void> => {
+	for (let round = 0; round < flushRounds; round++) {
+		// eslint-disable-next-line no-await-in-loop -- Each round runs one more step of a promise chain.
 		await Promise.resolve();
 	}
 };
 
-const createGate = (memory: MemoryKeyValue, host: Host, late: Write[]): KeyValueService => {
-	const pass = async (): Promise<void> => {
-		const {life} = host;
+const createBlockingKeyValue = (memory: MemoryKeyValue, host: Host, lateWrites: CompareAndSwap[]): KeyValueService => {
+	const waitForRelease = async (): Promise<void> => {
+		const {incarnation} = host;
 		await new Promise<void>(resolve => {
-			host.waiting.push(resolve);
+			host.blockedCalls.push(resolve);
 		});
-		if (host.life !== life) {
+		if (host.incarnation !== incarnation) {
 			await new Promise<never>(() => {
-				// A crashed host's call never goes on.
+				// A call of a crashed host never continues.
 			});
 		}
 	};
 
-	const write = async (change: Write): Promise<WriteOutcome> => {
+	const write = async (change: CompareAndSwap): Promise<WriteOutcome> => {
 		switch (host.reply) {
 			case 'arrives': {
 				return memory.compareAndSwap(change);
@@ -71,7 +71,7 @@
 			}
 
 			case 'lost-late': {
-				late.push(change);
+				lateWrites.push(change);
 				break;
 			}
 
@@ -86,83 +86,83 @@
 	return {
 		...memory,
 		async grantLease(duration) {
-			await pass();
+			await waitForRelease();
 			return memory.grantLease(duration);
 		},
 		async compareAndSwap(change) {
-			await pass();
+			await waitForRelease();
 			return write(change);
 		},
 		async endLease(lease) {
-			await pass();
+			await waitForRelease();
 			return host.isEndLost ? {kind: 'unknown', reason: 'lost'} : memory.endLease(lease);
 		},
 	};
 };
 
 const createHost = (): Host => ({
-	clock: createManualClock(), waiting: [], reply: 'arrives', isEndLost: false, outcome: undefined, term: undefined, cleared: [], life: 0,
+	clock: createManualClock(), blockedCalls: [], reply: 'arrives', isEndLost: false, outcome: undefined, term: undefined, approvedOrders: [], incarnation: 0,
 });
 
-/** Lets the host's next call through and lets what follows from it happen. */
-const release = async (host: Host): Promise<void> => {
-	host.waiting.shift()?.();
-	await settle();
+/** Releases the next blocked call of a host, and runs what follows from it. */
+const releaseNextCall = async (host: Host): Promise<void> => {
+	host.blockedCalls.shift()?.();
+	await flushPromises();
 };
 
-const stop = (host: Host): void => {
-	host.life++;
-	host.waiting = [];
+const stopHost = (host: Host): void => {
+	host.incarnation++;
+	host.blockedCalls = [];
 	host.term = undefined;
 };
 
-/** Creates a replay with one engine. */
+/** Creates two hosts, a key-value service and an engine that follow the events of a trace. */
 export const createReplay = (fencing: Fencing): Replay => {
 	const memory = createMemoryKeyValue({clock: createManualClock(), random: createRandom(1)});
-	const late: Write[] = [];
-	const network: Order[] = [];
-	const states: Record<HostName, Host> = {a: createHost(), b: createHost()};
-	const gates: Record<HostName, KeyValueService> = {a: createGate(memory, states.a, late), b: createGate(memory, states.b, late)};
+	const lateWrites: CompareAndSwap[] = [];
+	const ordersInFlight: Order[] = [];
+	const hostStates: Record<HostName, Host> = {a: createHost(), b: createHost()};
+	const keyValues: Record<HostName, KeyValueService> = {a: createBlockingKeyValue(memory, hostStates.a, lateWrites), b: createBlockingKeyValue(memory, hostStates.b, lateWrites)};
 	const engine: Orders = createOrders(getEngineSettings({fencing}));
-	const done: number[] = [];
+	const executedLeases: number[] = [];
 
 	const read = async (name: HostName): Promise<void> => {
-		const host = states[name];
+		const host = hostStates[name];
 		host.outcome = acquireTerm({
-			keyValue: gates[name], clock: host.clock, self: {host: name, incarnation: host.life}, timing: defaultTiming,
+			keyValue: keyValues[name], clock: host.clock, self: {host: name, incarnation: host.incarnation}, timing: defaultTiming,
 		});
 		void host.outcome.then(outcome => {
 			host.term = outcome.kind === 'acquired' ? outcome.term : undefined;
 		});
-		await settle();
+		await flushPromises();
 	};
 
 	const deliver = async (index: number): Promise<void> => {
-		const next = network[index];
+		const next = ordersInFlight[index];
 		if (next === undefined) {
 			return;
 		}
 
-		const answer = await engine.apply({id: String(next.lease), fencingNumber: next.number, order});
-		if (answer.status === 200 && !done.includes(next.lease)) {
-			done.push(next.lease);
+		const answer = await engine.apply({id: String(next.lease), fencingNumber: next.fencingNumber, order: engineOrder});
+		if (answer.status === 200 && !executedLeases.includes(next.lease)) {
+			executedLeases.push(next.lease);
 		}
 	};
 
-	/** Waits out earlier orders, renewing the lease meanwhile. */
-	const wait = (host: Host): void => {
+	/** Advances the host's clock until orders of earlier terms have expired, and renews the lease. */
+	const waitOutOrders = (host: Host): void => {
 		host.clock.pause(defaultTiming.orderLifetime);
 		if (host.term !== undefined) {
 			host.term = {...host.term, validUntil: getValidUntil(host.clock.monotonic(), defaultTiming)};
 		}
 	};
 
-	const isAllowed = ({term, clock}: Host): boolean =>
+	const isOrderAllowed = ({term, clock}: Host): boolean =>
 		term !== undefined && mayOrder(term, fencing, clock.monotonic(), defaultTiming);
 
-	const check = (host: Host): void => {
-		if (isAllowed(host) && host.term !== undefined) {
-			host.cleared.push({lease: Number(host.term.lease.replace('lease-', '')) - 1, number: host.term.fencingNumber});
+	const approveOrder = (host: Host): void => {
+		if (isOrderAllowed(host) && host.term !== undefined) {
+			host.approvedOrders.push({lease: Number(host.term.lease.replace('lease-', '')) - 1, fencingNumber: host.term.fencingNumber});
 		}
 	};
 
@@ -173,28 +173,28 @@
 			}
 
 			case 'grant': {
-				return release(states[event.host]);
+				return releaseNextCall(hostStates[event.host]);
 			}
 
 			case 'take':
 			case 'raise': {
-				states[event.host].reply = event.reply;
-				return release(states[event.host]);
+				hostStates[event.host].reply = event.reply;
+				return releaseNextCall(hostStates[event.host]);
 			}
 
 			case 'end': {
-				states[event.host].isEndLost = event.isLost;
-				return release(states[event.host]);
+				hostStates[event.host].isEndLost = event.isLost;
+				return releaseNextCall(hostStates[event.host]);
 			}
 
 			case 'expire': {
-				states[event.host].clock.pause(defaultTiming.lease);
+				hostStates[event.host].clock.pause(defaultTiming.lease);
 				return;
 			}
 
 			case 'crash': {
-				stop(states[event.host]);
-				states[event.host].cleared = [];
+				stopHost(hostStates[event.host]);
+				hostStates[event.host].approvedOrders = [];
 				return;
 			}
 
@@ -204,34 +204,34 @@
 			}
 
 			case 'late': {
-				const [write] = late.splice(event.index, 1);
+				const [write] = lateWrites.splice(event.index, 1);
 				await (write === undefined ? undefined : memory.compareAndSwap(write));
 				return;
 			}
 
 			case 'wait': {
-				wait(states[event.host]);
+				waitOutOrders(hostStates[event.host]);
 				return;
 			}
 
 			case 'check': {
-				check(states[event.host]);
+				approveOrder(hostStates[event.host]);
 				return;
 			}
 
 			case 'send': {
-				network.push(...states[event.host].cleared.splice(event.index, 1));
+				ordersInFlight.push(...hostStates[event.host].approvedOrders.splice(event.index, 1));
 				return;
 			}
 
 			case 'deliver': {
 				await deliver(event.index);
-				network.splice(event.index, event.isRepeated ? 0 : 1);
+				ordersInFlight.splice(event.index, event.isRepeated ? 0 : 1);
 				return;
 			}
 
 			case 'lose': {
-				network.splice(event.index, 1);
+				ordersInFlight.splice(event.index, 1);
 			}
 		}
 	};
@@ -240,14 +240,14 @@
 		apply,
 		async getView() {
 			const fencingEntry = memory.peek(fencingKey);
-			const entries = hosts.map(name => [name, states[name]] as const);
+			const entries = hosts.map(name => [name, hostStates[name]] as const);
 			return {
-				fencing: Number(fencingEntry?.value ?? 0),
+				fencingNumber: Number(fencingEntry?.value ?? 0),
 				isHolderTaken: memory.peek(holderKey) !== undefined,
-				numbers: Object.fromEntries(entries.map(([name, {term, clock}]) =>
+				fencingNumbers: Object.fromEntries(entries.map(([name, {term, clock}]) =>
 					[name, term !== undefined && clock.monotonic() < term.validUntil ? term.fencingNumber : 0])) as Record<HostName, number>,
-				mayOrder: Object.fromEntries(entries.map(([name, host]) => [name, isAllowed(host)])) as Record<HostName, boolean>,
-				done,
+				isOrderAllowed: Object.fromEntries(entries.map(([name, host]) => [name, isOrderAllowed(host)])) as Record<HostName, boolean>,
+				executedLeases,
 			};
 		},
 	};
--- a/packages/model/src/leases/state.ts
+++ b/packages/model/src/leases/state.ts
@@ -5,64 +5,64 @@
 /** One of `hosts`. */
 export type HostName = typeof hosts[number];
 
-/** A host's steps to the lease; `ending` still has to end a lease that it gave up. */
+/** Phase of a host on its way to holding the lease; in `ending` it still has to end a lease that it gave up. */
 export type Phase = 'idle' | 'read' | 'granted' | 'holding' | 'held' | 'ending';
 
-/** What a host knows. */
+/** State that a host keeps. */
 export type HostState = {
 	phase: Phase;
-	/** Fencing number that it read. */
-	read: number;
-	/** Index of its lease; -1 for none. */
+	/** Fencing number that the host read from the service. */
+	readFencingNumber: number;
+	/** Index of the host's lease; -1 for none. */
 	lease: number;
-	/** Fencing number of its term; 0 for none. */
-	number: number;
-	/** Whether orders of earlier terms have been waited out. */
+	/** Fencing number of the host's term; 0 for none. */
+	fencingNumber: number;
+	/** Whether the host has waited until no order of an earlier term can still arrive. */
 	hasWaited: boolean;
-	/** Orders that were allowed by the check and not yet sent, as after a pause in between. */
-	cleared: Order[];
+	/** Orders that the check allowed and that aren't sent yet, as when the process pauses between check and send. */
+	approvedOrders: Order[];
 };
 
-/** An order to the engine, with the lease under which it was given. */
-export type Order = {lease: number; number: number};
+/** Order to the engine, with the index of the lease under which it was issued. */
+export type Order = {lease: number; fencingNumber: number};
 
-/** A lease at the service. `turn` tells the order in which leases took the holder's entry; 0 for never. */
-export type Lease = {host: HostName; isAlive: boolean; isBelieved: boolean; turn: number; number: number};
+/** Lease at the service. `acquisitionNumber` is the position in the sequence of leases that acquired the holder entry; 0 for a lease that never did. */
+export type Lease = {host: HostName; isAlive: boolean; isValidForHolder: boolean; acquisitionNumber: number; fencingNumber: number};
 
-/** A write whose reply was lost and that takes effect later, if it still can. */
+/** Write whose reply was lost and that takes effect later if its condition still holds. */
 export type LateWrite = {kind: 'holder'; lease: number} | {kind: 'fencing'; expected: number};
 
-/** What an engine has carried out. */
+/** State of the engine that executes the orders. */
 export type EngineState = {
-	highest: number;
-	/** Orders that it carried out, by lease. */
-	done: number[];
-	/** True once it carried out an order of an earlier holder after one of a later holder. */
-	hasRegressed: boolean;
+	highestFencingNumber: number;
+	/** Leases under which the executed orders were issued, in order of execution. */
+	executedLeases: number[];
+	/** True once the engine has executed an order of an earlier holder after one of a later holder. */
+	hasExecutedOutOfOrder: boolean;
 };
 
-/** State of the whole. */
+/** State of the key-value service, the hosts, the network and the engine. */
 export type LeaseState = {
 	hosts: Record<HostName, HostState>;
 	leases: Lease[];
-	/** Index of the lease that holds the entry; -1 for none. */
+	/** Index of the lease that holds the holder entry; -1 for none. */
 	holder: number;
-	fencing: number;
-	turns: number;
-	late: LateWrite[];
-	/** Orders in the network. */
-	orders: Order[];
+	fencingNumber: number;
+	acquisitions: number;
+	lateWrites: LateWrite[];
+	/** Orders in flight to the engine. */
+	ordersInFlight: Order[];
 	engine: EngineState;
-	/** Faults that may still happen, so that the states are finite. */
-	faultsLeft: number;
+	/** Number of faults that may still happen, which keeps the state space finite. */
+	remainingFaults: number;
 };
 
-/** How the reply to a write goes: it arrives, or is lost after a write that takes effect now, later or never. */
+/** Outcomes of a write: its reply arrives, or is lost and the write takes effect now, later or never. */
 export const replies = ['arrives', 'lost-applied', 'lost-late', 'lost-dropped'] as const;
 /** One of `replies`. */
 export type ReplyKind = typeof replies[number];
 
-/** Steps of the protocol and of its surroundings. */
+/** Events of the hosts, the key-value service and the network. */
 export type LeaseEvent
 	= | {type: 'read'; host: HostName}
 		| {type: 'grant'; host: HostName}
@@ -79,40 +79,40 @@
 		| {type: 'deliver'; index: number; isRepeated: boolean}
 		| {type: 'lose'; index: number};
 
-/** Faults that can be put into the specification, to show that the invariants catch them. */
+/** Faults put into the specification, to show that the invariants catch them. */
 export const leaseFaults = ['no-wait', 'no-engine-check', 'no-validity-check', 'early-lapse', 'unknown-is-applied', 'number-not-raised'] as const;
 /** One of `leaseFaults`. */
 export type LeaseFault = typeof leaseFaults[number];
 
-/** What a specification varies in. */
+/** Variant of the specification to explore. */
 export type LeaseVariant = {
-	/** What the engine does with fencing numbers. */
+	/** Whether the engine checks fencing numbers. */
 	fencing: Fencing;
 	fault?: LeaseFault;
-	/** Leases that are granted in all. */
-	leases: number;
-	/** Faults of the surroundings in one run. */
-	faults: number;
+	/** Number of leases that may be granted in all. */
+	maxLeases: number;
+	/** Number of crashes and of lost, late or repeated messages in one run. */
+	maxFaults: number;
 };
 
-const idle: HostState = {
-	phase: 'idle', read: 0, lease: -1, number: 0, hasWaited: false, cleared: [],
+const idleHost: HostState = {
+	phase: 'idle', readFencingNumber: 0, lease: -1, fencingNumber: 0, hasWaited: false, approvedOrders: [],
 };
 
-const fresh: EngineState = {highest: 0, done: [], hasRegressed: false};
+const initialEngine: EngineState = {highestFencingNumber: 0, executedLeases: [], hasExecutedOutOfOrder: false};
 
-/** Gets a host without a lease; orders that were allowed may still be sent. */
-export const getIdle = (cleared: Order[] = []): HostState => ({...idle, cleared});
+/** Creates the state of a host without a lease; orders that its check has allowed may still be sent. */
+export const createIdleHost = (approvedOrders: Order[] = []): HostState => ({...idleHost, approvedOrders});
 
-/** Gets the initial state. */
-export const getInitial = (faults: number): LeaseState => ({
-	hosts: {a: idle, b: idle},
+/** Creates the initial state. */
+export const createInitialState = (maxFaults: number): LeaseState => ({
+	hosts: {a: idleHost, b: idleHost},
 	leases: [],
 	holder: -1,
-	fencing: 0,
-	turns: 0,
-	late: [],
-	orders: [],
-	engine: fresh,
-	faultsLeft: faults,
+	fencingNumber: 0,
+	acquisitions: 0,
+	lateWrites: [],
+	ordersInFlight: [],
+	engine: initialEngine,
+	remainingFaults: maxFaults,
 });
