--- a/packages/model/src/claims/attempt.ts
+++ b/packages/model/src/claims/attempt.ts
@@ -2,7 +2,10 @@
 	addToSet, isIncarnationEnded, isSameOperation, updateAt, type Attempt, type Bounds, type Fault, type Operation, type Reply, type SettledOutcome, type State, type ReportedResult,
 } from './state.js';
 
-/** Events of the hosts that make attempts, and of the upstream that runs them. */
+/**
+Events of the hosts that make attempts, and of the upstream that runs them. `ask` requests the claim from the slot's owner,
+`ask-alone` from the host's own slot writer; `cut` ends a dispatched attempt whose outcome remains unknown.
+*/
 export type AttemptEvent
 	= | {type: 'ask'; attempt: number}
 		| {type: 'ask-alone'; attempt: number}
--- a/packages/model/src/claims/replay.ts
+++ b/packages/model/src/claims/replay.ts
@@ -26,6 +26,7 @@
 
 const key = {customer: 'customer', key: 'key'};
 const flushRounds = 5;
+/** Longest backoff of the claims package in milliseconds; advancing the clock by it starts any pending retry. */
 const maxBackoff = 1000;
 const limits = {
 	...claimLimits, writeInterval: 0, claimTimeout: Number.MAX_SAFE_INTEGER, settleTimeout: Number.MAX_SAFE_INTEGER,
--- a/packages/model/src/claims/specification.ts
+++ b/packages/model/src/claims/specification.ts
@@ -11,10 +11,10 @@
 const writerEvents = new Set<ClaimEvent['type']>(['deliver', 'step', 'drop', 'land', 'reply', 'lose-reply']);
 const isWriterEvent = (event: ClaimEvent): event is WriterEvent => writerEvents.has(event.type);
 
-const areStartsClaimed = ({slot, attempts}: State): boolean => attempts.every((attempt, index) =>
+const areDispatchedAttemptsClaimed = ({slot, attempts}: State): boolean => attempts.every((attempt, index) =>
 	attempt.phase !== 'dispatched' || (slot.claim?.attempt === index && slot.claim.outcome === 'claimed'));
 
-const hasDoneRun = ({attempts}: State): boolean =>
+const isDoneReportedAfterRun = ({attempts}: State): boolean =>
 	attempts.every(({reportedResult}) => reportedResult !== 'done') || attempts.some(({hasRun}) => hasRun);
 
 /** Invariants of the claim protocol, which lets a non-idempotent request (a booking) run at most once per key. */
@@ -22,9 +22,9 @@
 	{name: 'a booking runs at most once', holds: ({attempts}) => attempts.filter(({hasRun}) => hasRun).length <= 1},
 	{name: 'what was told not run never runs', holds: ({attempts}) => attempts.every(({reportedResult, hasRun}) => reportedResult !== 'not-run' || !hasRun)},
 	{name: 'a stored outcome never changes', holds: ({hasChangedOutcome}) => !hasChangedOutcome},
-	{name: 'a request starts only while its claim is stored', holds: areStartsClaimed},
+	{name: 'a request starts only while its claim is stored', holds: areDispatchedAttemptsClaimed},
 	{name: 'an attempt that was released is not claimed', holds: ({slot}) => !slot.claim?.givenUp.includes(slot.claim.attempt)},
-	{name: 'done is told only after a run', holds: hasDoneRun},
+	{name: 'done is told only after a run', holds: isDoneReportedAfterRun},
 ];
 
 /** Creates the specification of the claim protocol between two hosts, with the given fault in it unless that is `none`. */
--- a/packages/model/src/claims/writer.ts
+++ b/packages/model/src/claims/writer.ts
@@ -3,7 +3,10 @@
 	addToSet, isSameOperation, updateAt, type ClaimRecord, type Fault, type Message, type SlotWrite, type Reply, type State, type Writer,
 } from './state.js';
 
-/** Events of the hosts' slot writers and of the key-value service. */
+/**
+Events of the hosts' slot writers and of the key-value service. In a `step` a writer reads, and writes or answers; `drop` is a
+batch that times out, `land` a write that reaches the service, and `reply` the service's reply to it.
+*/
 export type WriterEvent
 	= | {type: 'deliver'; message: Message}
 		| {type: 'step'; host: number}
--- a/packages/model/src/configuration/state.ts
+++ b/packages/model/src/configuration/state.ts
@@ -61,7 +61,11 @@
 	remainingAcceptances: number;
 };
 
-/** Events of operators, hosts and the key-value service. */
+/**
+Events of operators, hosts and the key-value service. `land` is a write that reaches the service, `settle` the decision of an
+operator after reading again, `hear` an announcement of a version to a starting host, and `receive-stale` the receipt of a
+version, possibly an old one, without confirmation.
+*/
 export type DistributionEvent
 	= | {type: 'read'; operator: number}
 		| {type: 'write'; operator: number}
--- a/packages/model/src/leases/state.ts
+++ b/packages/model/src/leases/state.ts
@@ -62,7 +62,11 @@
 /** One of `replies`. */
 export type ReplyKind = typeof replies[number];
 
-/** Events of the hosts, the key-value service and the network. */
+/**
+Events of the hosts, the key-value service and the network. `take` writes the holder entry and `raise` the next fencing number;
+`expire` ends a lease in its holder's view and `lapse` at the service; `late` is a late write that reaches the service; `check`
+allows an order that `send` sends; `deliver` and `lose` are what the network does with an order.
+*/
 export type LeaseEvent
 	= | {type: 'read'; host: HostName}
 		| {type: 'grant'; host: HostName}
