--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -8,6 +8,7 @@
 import {runCommandLine} from './run.js';
 
 const clock = createSystemClock();
+/** Timeout of a call to the key-value service, in milliseconds. */
 const timeout = 2500;
 
 const environment: Environment = {
