--- a/packages/discovery/src/exchange-reports.ts
+++ b/packages/discovery/src/exchange-reports.ts
@@ -23,7 +23,7 @@
 	addClearedSuspect: (fingerprint: string) => void;
 	/** Reports at once that this host is shutting down. */
 	markStopping: () => void;
-	/** Returns the newest revision of the key-value service that recent reports name; 0 without a recent report. */
+	/** Returns the newest revision of the store that recent reports name; 0 without a recent report. */
 	getNewestRevision: () => number;
 	/** Returns the time since the last report of any other host; infinite if there was none. */
 	getShortestSilence: () => Milliseconds;
@@ -31,9 +31,9 @@
 	getSilence: (host: HostId) => Milliseconds;
 	/** Returns whether a host has reported that it is shutting down. */
 	isStopping: (host: HostId) => boolean;
-	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
+	/** Sends changes of the store to the hosts of which this one is the relay. */
 	sendChanges: (batch: ChangeBatch) => void;
-	/** Returns whether a relay currently sends this host the changes of the key-value service. */
+	/** Returns whether a relay currently sends this host the changes of the store. */
 	hasRelayFeed: () => boolean;
 	close: () => void;
 };
@@ -48,13 +48,13 @@
 	loads: LoadTracker;
 	suspects: CrashSuspects;
 	getRevision: () => number;
-	/** Returns whether this host itself reaches the key-value service. */
+	/** Returns whether this host reaches the store. */
 	isStoreReached: () => boolean;
 	/** Called with each prompt that another host has sent to an upstream. */
 	onPrefill: (prefill: Prefill) => void;
 	/** Called after the load of other hosts has changed. */
 	onLoad: () => void;
-	/** Called with the changes of the key-value service that a relay has sent. */
+	/** Called with the changes of the store that a relay has sent. */
 	onChanges: (batch: ChangeBatch) => void;
 };
 
@@ -62,7 +62,7 @@
 const batchDelay: Milliseconds = 3;
 /** Largest fleet whose reports need no minimum spacing. */
 const maxUnspacedHosts = 16;
-/** Minimum time between two reports of a host, per host of the fleet: it keeps the total rate independent of the fleet's size. */
+/** Minimum spacing of one host's reports of changes, multiplied by the number of hosts, so that the total rate of these reports doesn't depend on the fleet's size. */
 const reportSpacingPerHost: Milliseconds = 0.8;
 /** Interval of full reports, which repeat loads that have changed lately. */
 const fullReportInterval: Milliseconds = 500;
@@ -183,6 +183,7 @@
 		loads.dropSilentHosts(clock.monotonic());
 		sendFullReport();
 		if (options.isStoreReached()) {
+			// An empty batch tells the group that the relay feed is alive.
 			const revision = options.getRevision();
 			broadcaster.sendChanges({after: revision, revision, changes: []});
 		}
--- a/packages/discovery/src/fleet-view.ts
+++ b/packages/discovery/src/fleet-view.ts
@@ -14,30 +14,30 @@
 		| {kind: 'unreadable'; reason: string}
 		| {kind: 'other'};
 
-/** This host's copy of configuration, upstreams and hosts from the key-value service; it may lag behind. */
+/** This host's copy of the configuration, upstreams and hosts in the key-value service, here called the store; it may lag behind. */
 export type FleetView = {
 	/** Replaces all entries; ones that the snapshot lacks are removed. */
 	applySnapshot: (snapshot: Snapshot, now: Milliseconds) => void;
 	/** Applies changes that lead up to the revision; ones that are older than the known entries are ignored. */
 	applyChanges: (changes: readonly Change[], revision: number, now: Milliseconds) => void;
-	/** Records whether the last call to the service was answered. */
-	recordContact: (isReached: boolean, now: Milliseconds) => void;
-	/** Removes the entries whose lease expired in an outage of the service, if their upstreams have not registered again in time. */
+	/** Records whether the store answered the last call; a change batch that a relay has sent counts as an answer. */
+	recordContact: (isStoreReached: boolean, now: Milliseconds) => void;
+	/** Removes the entries whose lease expired in an outage of the store, if their upstreams have not registered again in time. */
 	applyDeferredRemovals: (now: Milliseconds) => void;
-	/** Returns the revision of the service up to which changes are known; 0 before the first. */
+	/** Returns the revision of the store up to which changes are known; 0 before the first. */
 	getRevision: () => number;
-	/** Returns whether the last call to the service was answered. */
-	isReached: () => boolean;
-	/** Returns the time since the service last answered. */
-	getSilence: (now: Milliseconds) => Milliseconds;
+	/** Returns whether the last recorded call was answered. */
+	isStoreReached: () => boolean;
+	/** Returns the time since the store last answered this host or, through a relay, sent it a change batch. */
+	getTimeSinceStoreContact: (now: Milliseconds) => Milliseconds;
 	/** Returns all known entries, for other hosts. */
 	getSnapshot: () => Snapshot;
 	/** Returns the routes of the current configuration; undefined before the first. */
 	getRoutes: () => RouteTable | undefined;
-	/** Returns the upstreams of a service that accept new requests. */
+	/** Returns the upstreams that run a service and accept new requests. */
 	getUpstreams: (service: string) => Upstream[];
 	/** Returns whether the incarnation of an upstream is listed and accepts new requests. */
-	isUsable: (key: UpstreamKey) => boolean;
+	isUsable: (upstreamKey: UpstreamKey) => boolean;
 	/** Returns the records of all listed hosts, this one included. */
 	getHosts: () => HostRecord[];
 };
@@ -48,10 +48,10 @@
 	decode: (entry: Entry) => DecodedEntry;
 	logger: Logger;
 	/** Called with each incarnation of an upstream that is no longer listed. */
-	onRemoved?: (key: UpstreamKey) => void;
+	onRemoved?: (upstreamKey: UpstreamKey) => void;
 };
 
-/** Time after an outage of the service in which upstreams whose leases expired during it can register again. */
+/** Time after an outage of the store in which upstreams whose leases expired during it can register again. */
 const reregistrationGrace: Milliseconds = 2000;
 
 /** Creates an empty view. */
@@ -63,7 +63,7 @@
 	let routeTable: RouteTable | undefined;
 	let revision = 0;
 	let lastContactAt = Number.NEGATIVE_INFINITY;
-	let isReached = true;
+	let isStoreReached = true;
 	let regainedAt = Number.NEGATIVE_INFINITY;
 
 	const applyConfiguration = (configuration: RoutingConfiguration): void => {
@@ -79,25 +79,25 @@
 		});
 	};
 
-	const removeUpstream = (entryKey: string, reason: string): void => {
-		const known = upstreams.get(entryKey);
+	const removeUpstream = (storeKey: string, reason: string): void => {
+		const known = upstreams.get(storeKey);
 		if (known === undefined) {
 			return;
 		}
 
-		upstreams.delete(entryKey);
+		upstreams.delete(storeKey);
 		logger.info('upstream-removed', {upstream: getUpstreamKey(known), reason, revision});
 		onRemoved?.(getUpstreamKey(known));
 	};
 
-	const applyUpstream = (entryKey: string, upstream: Upstream): void => {
-		const known = upstreams.get(entryKey);
+	const applyUpstream = (storeKey: string, upstream: Upstream): void => {
+		const known = upstreams.get(storeKey);
 		const isSame = known !== undefined && getUpstreamKey(known) === getUpstreamKey(upstream);
 		if (!isSame) {
-			removeUpstream(entryKey, 'restarted');
+			removeUpstream(storeKey, 'restarted');
 		}
 
-		upstreams.set(entryKey, upstream);
+		upstreams.set(storeKey, upstream);
 		if (!isSame || known.isLeaving !== upstream.isLeaving) {
 			logger.info('upstream-listed', {
 				upstream: getUpstreamKey(upstream), service: upstream.service, address: upstream.address, leaving: upstream.isLeaving, revision,
@@ -115,7 +115,7 @@
 		hosts.set(entry.key, record);
 	};
 
-	const applyDecodedEntry = (key: string, decoded: DecodedEntry): void => {
+	const applyDecodedEntry = (storeKey: string, decoded: DecodedEntry): void => {
 		switch (decoded.kind) {
 			case 'configuration': {
 				applyConfiguration(decoded.configuration);
@@ -123,13 +123,13 @@
 			}
 
 			case 'upstream': {
-				applyUpstream(key, decoded.upstream);
+				applyUpstream(storeKey, decoded.upstream);
 				break;
 			}
 
 			case 'unreadable': {
-				logger.warn('entry-unreadable', {key, reason: decoded.reason});
-				removeUpstream(key, 'unreadable');
+				logger.warn('entry-unreadable', {key: storeKey, reason: decoded.reason});
+				removeUpstream(storeKey, 'unreadable');
 				break;
 			}
 
@@ -154,35 +154,35 @@
 		}
 	};
 
-	const removeNow = (key: string, reason: string): void => {
-		deferredRemovals.delete(key);
-		entries.delete(key);
-		hosts.delete(key);
-		removeUpstream(key, reason);
+	const removeNow = (storeKey: string, reason: string): void => {
+		deferredRemovals.delete(storeKey);
+		entries.delete(storeKey);
+		hosts.delete(storeKey);
+		removeUpstream(storeKey, reason);
 	};
 
 	/**
-	 * Removes an entry. Shortly after an outage of the service the removal of an upstream is deferred, as its lease may
+	 * Removes an entry. Shortly after an outage of the store the removal of an upstream is deferred, as its lease may
 	 * have expired only because the upstream could not renew it.
 	 */
-	const removeEntry = (key: string, now: Milliseconds): void => {
-		const upstream = upstreams.get(key);
+	const removeEntry = (storeKey: string, now: Milliseconds): void => {
+		const upstream = upstreams.get(storeKey);
 		if (upstream !== undefined && !upstream.isLeaving && now - regainedAt < reregistrationGrace) {
 			logger.info('upstream-lapsed', {upstream: getUpstreamKey(upstream), revision});
-			deferredRemovals.add(key);
+			deferredRemovals.add(storeKey);
 			return;
 		}
 
-		removeNow(key, 'removed');
+		removeNow(storeKey, 'removed');
 	};
 
 	return {
 		applySnapshot(snapshot, now) {
 			revision = snapshot.revision;
 			const present = new Set(snapshot.entries.map(({key}) => key));
-			for (const key of entries.keys()) {
-				if (!present.has(key)) {
-					removeEntry(key, now);
+			for (const storeKey of entries.keys()) {
+				if (!present.has(storeKey)) {
+					removeEntry(storeKey, now);
 				}
 			}
 
@@ -201,15 +201,15 @@
 			}
 		},
 		recordContact(reached, now) {
-			if (reached && !isReached) {
+			if (reached && !isStoreReached) {
 				regainedAt = now;
 			}
 
-			if (reached !== isReached) {
+			if (reached !== isStoreReached) {
 				logger.warn(reached ? 'store-regained' : 'store-lost', {revision, silence: Math.round(now - lastContactAt)});
 			}
 
-			isReached = reached;
+			isStoreReached = reached;
 			lastContactAt = reached ? now : lastContactAt;
 		},
 		applyDeferredRemovals(now) {
@@ -222,12 +222,12 @@
 			}
 		},
 		getRevision: () => revision,
-		isReached: () => isReached,
-		getSilence: now => now - lastContactAt,
+		isStoreReached: () => isStoreReached,
+		getTimeSinceStoreContact: now => now - lastContactAt,
 		getSnapshot: () => ({entries: [...entries.values()], revision}),
 		getRoutes: () => routeTable,
 		getUpstreams: service => [...upstreams.values()].filter(upstream => upstream.service === service && !upstream.isLeaving),
-		isUsable: key => [...upstreams.values()].some(upstream => getUpstreamKey(upstream) === key && !upstream.isLeaving),
+		isUsable: upstreamKey => [...upstreams.values()].some(upstream => getUpstreamKey(upstream) === upstreamKey && !upstream.isLeaving),
 		getHosts: () => [...hosts.values()],
 	};
 };
--- a/packages/discovery/src/follow-fleet.test.ts
+++ b/packages/discovery/src/follow-fleet.test.ts
@@ -102,7 +102,7 @@
 	state.peer = {entries: [entry('a', 5)], revision: 5};
 	state.newest = 5;
 	await clock.advance(3000);
-	expect(view.isReached()).toBe(false);
+	expect(view.isStoreReached()).toBe(false);
 	expect(view.getRevision()).toBe(5);
 });
 
--- a/packages/discovery/src/follow-fleet.ts
+++ b/packages/discovery/src/follow-fleet.ts
@@ -6,7 +6,7 @@
 
 /** Keeps a view of the fleet up to date. */
 export type FleetFollower = {
-	/** Reads the newest state now, from the key-value service or else from another host; resolves after the attempt, successful or not. */
+	/** Reads the newest state now, from the store or else from another host; resolves after the attempt, successful or not. */
 	refresh: () => Promise<void>;
 	stop: () => void;
 };
@@ -17,13 +17,13 @@
 	view: FleetView;
 	clock: Clock;
 	logger: Logger;
-	/** Reads the view of another host; resolves with undefined if it has nothing newer than the revision or no host answers. */
+	/** Reads the view of one randomly chosen host; resolves with undefined if it has nothing newer than the revision, or if it doesn't answer. */
 	fetchFromPeer: (revision: number) => Promise<Snapshot | undefined>;
 	/** Returns the newest revision that other hosts report. */
 	getNewestRevision: () => number;
-	/** Returns whether a relay sends this host all changes, so that it needn't watch the service itself. */
+	/** Returns whether a relay sends this host all changes, so that it needn't watch the store itself. */
 	hasRelayFeed: () => boolean;
-	/** Called with the changes that the service has returned. */
+	/** Called with the changes that the store has returned. */
 	onChanges: (batch: ChangeBatch) => void;
 };
 
@@ -37,7 +37,7 @@
 /** Interval at which a host with a relay feed checks that the feed continues. */
 const feedCheckInterval: Milliseconds = 200;
 
-/** Starts to follow the service, and other hosts while the service is unreachable. */
+/** Starts to follow the store, and other hosts while the store is unreachable. */
 export const followFleet = ({
 	feed, view, clock, logger, fetchFromPeer, getNewestRevision, hasRelayFeed, onChanges,
 }: FleetFollowerOptions): FleetFollower => {
@@ -120,9 +120,9 @@
 		}
 	};
 
-	/** Reads the changes that other hosts know already: the watch of this host may have stalled, or the service refuses its calls. */
+	/** Reads the changes that other hosts know already: the watch of this host may have stalled, or the store refuses its calls. */
 	const catchUp = async (): Promise<void> => {
-		const isRead = !hasRelayFeed() && view.isReached() && await readAll();
+		const isRead = !hasRelayFeed() && view.isStoreReached() && await readAll();
 		if (!isRead) {
 			await readFromPeer();
 		}
@@ -134,7 +134,7 @@
 			view.applyDeferredRemovals(clock.monotonic());
 			// A host that is behind at one comparison only may just be receiving the changes.
 			const isBehind = getNewestRevision() > view.getRevision();
-			if (isBehind && (wasBehind || !view.isReached())) {
+			if (isBehind && (wasBehind || !view.isStoreReached())) {
 				// eslint-disable-next-line no-await-in-loop -- One read at a time.
 				await catchUp();
 			} else if (view.getRevision() === 0) {
@@ -152,8 +152,8 @@
 	void compareRevisions();
 	return {
 		async refresh() {
-			// While the service refuses the calls of this host, only other hosts can provide newer state.
-			const hasRead = view.isReached() && await readAll();
+			// While the store refuses the calls of this host, only other hosts can provide newer state.
+			const hasRead = view.isStoreReached() && await readAll();
 			if (!hasRead) {
 				await readFromPeer();
 			}
--- a/packages/discovery/src/host-record.ts
+++ b/packages/discovery/src/host-record.ts
@@ -2,7 +2,7 @@
 	Address, HostId, Incarnation, Zone,
 } from '@gentianlift/types';
 
-/** What a host publishes about itself in the key-value service. */
+/** Record that a host publishes about itself in the store, the key-value service. */
 export type HostRecord = {
 	host: HostId;
 	incarnation: Incarnation;
@@ -11,9 +11,9 @@
 	callers: Address;
 	/** Address from which other hosts read its view of the fleet. */
 	peers: Address;
-	/** Address to which other hosts send load reports, over UDP. */
+	/** UDP address for datagrams with load reports and store changes; `loadReports` in the settings. */
 	notes: Address;
-	/** Processing capacity, in cores of standard speed. */
+	/** Processing capacity, in cores of standard speed; `capacity` in the settings. */
 	strength: number;
 	/** Whether the host is in a graceful shutdown. */
 	isStopping: boolean;
--- a/packages/discovery/src/join-fleet.ts
+++ b/packages/discovery/src/join-fleet.ts
@@ -14,7 +14,7 @@
 import {createPeerViewClient} from './peer-views.js';
 import {registerHost, type HostRegistration} from './register-host.js';
 
-/** The operations of the key-value service that a host of the fleet uses. */
+/** The operations of the store, the key-value service, that a host of the fleet uses. */
 export type FleetStore = ChangeFeed & Pick<KeyValueService, 'compareAndSwap' | 'grantLease' | 'renewLease' | 'endLease'>;
 
 /** A host's membership in the fleet. */
@@ -33,7 +33,7 @@
 export type FleetOptions = {
 	/** Record of this host, as published to the others. */
 	record: HostRecord;
-	/** Addresses from which other hosts' views can be read before any host is known from the service. */
+	/** Addresses from which other hosts' views can be read before any host is known from the store. */
 	knownPeers: readonly Address[];
 	store: FleetStore;
 	/** Decodes an entry that the operators or an upstream have written. */
@@ -65,11 +65,12 @@
 		loads: options.loads,
 		suspects: options.suspects,
 		getRevision: view.getRevision,
-		isStoreReached: () => view.isReached() && view.getRevision() > 0,
+		isStoreReached: () => view.isStoreReached() && view.getRevision() > 0,
 		onLoad: options.onLoad,
 		onPrefill: options.onPrefill,
 		onChanges({after, revision, changes}) {
 			const now = options.clock.monotonic();
+			// A batch that starts after this host's revision would leave a gap; `followFleet` catches up once the revisions in load reports show that this host is behind.
 			if (after <= view.getRevision() && view.getRevision() > 0) {
 				view.recordContact(true, now);
 				view.applyChanges(changes, revision, now);
--- a/packages/discovery/src/load-report.ts
+++ b/packages/discovery/src/load-report.ts
@@ -5,12 +5,12 @@
 /** Prompt that a host has sent to an upstream, so that the upstream holds its parts in the prompt cache. */
 export type Prefill = {upstream: UpstreamKey; model: string; parts: readonly PromptPart[]};
 
-/** Periodic report of one host to the others: the load that it causes and what it has observed since its last report. */
+/** Report of one host to the others: the load that it causes, the prompts that it has sent, and crashes. It is sent after each change, and in full periodically. */
 export type LoadReport = {
 	host: HostId;
 	incarnation: Incarnation;
 	sequence: number;
-	/** Revision of the key-value service up to which the host knows all changes. */
+	/** Revision of the store up to which the host knows all changes. */
 	revision: number;
 	isStopping: boolean;
 	/** Loads that have changed since the last report, or in a full report all that have changed lately. */
--- a/packages/discovery/src/packet.ts
+++ b/packages/discovery/src/packet.ts
@@ -9,7 +9,7 @@
 /** Value of `forwardScope`. */
 export type ForwardScope = typeof forwardScope[keyof typeof forwardScope];
 
-/** Changes of the key-value service, sent by a relay to hosts that don't watch the service themselves. */
+/** Changes of the store, sent by a relay to hosts that don't watch the store themselves. */
 export type ChangeBatch = {
 	/** Revision directly before the first change. */
 	after: number;
@@ -24,7 +24,7 @@
 	/** Hosts to which the recipient must forward the reports. */
 	forwardTo: ForwardScope;
 	reports: LoadReport[];
-	/** Changes of the key-value service, from a relay to its group. */
+	/** Changes of the store, from a relay to its group. */
 	batches: ChangeBatch[];
 };
 
--- a/packages/discovery/src/peer-views.ts
+++ b/packages/discovery/src/peer-views.ts
@@ -12,7 +12,7 @@
 
 /** Options of the client. */
 export type PeerViewClientOptions = {
-	/** Addresses of other hosts, from the settings and the key-value service. */
+	/** Addresses of other hosts, from the settings and the store. */
 	getAddresses: () => Address[];
 	clock: Clock;
 	random: Random;
--- a/packages/discovery/src/register-host.ts
+++ b/packages/discovery/src/register-host.ts
@@ -3,7 +3,7 @@
 import type {KeyValueService, Milliseconds} from '@gentianlift/types';
 import {getHostKey, type HostRecord} from './host-record.js';
 
-/** Keeps a host's record in the key-value service under a lease. */
+/** Keeps a host's record in the store under a lease. */
 export type HostRegistration = {
 	/** Marks the record: the host is in a graceful shutdown. */
 	markStopping: () => Promise<void>;
--- a/packages/discovery/src/relay-plan.ts
+++ b/packages/discovery/src/relay-plan.ts
@@ -12,7 +12,7 @@
 
 /** Recipients of a host's own load reports, and of those that it forwards. */
 export type RelayPlan
-	/** In a small fleet, a host sends its reports to all other hosts. */
+	/** In a small fleet, a host sends its reports to all other hosts, which `members` lists. */
 	= | {kind: 'direct'; members: HostRecord[]}
 		/** A relay sends its own reports and those of its group to its group and to the other relays. */
 		| (RelayTargets & {kind: 'relay'})
@@ -37,7 +37,8 @@
 const getGroupName = ({host, zone}: HostRecord, zoneSize: number): string =>
 	`${zone}/${getHash(host) % Math.max(1, Math.round(zoneSize / targetGroupSize))}`;
 
-const groupHostsByRelay = (hosts: readonly HostRecord[]): Map<string, HostRecord[]> => {
+/** Returns the hosts of each group, by group name. */
+const groupHosts = (hosts: readonly HostRecord[]): Map<string, HostRecord[]> => {
 	const zoneSizes = countHostsByZone(hosts);
 	const groups = new Map<string, HostRecord[]>();
 	for (const record of hosts) {
@@ -60,7 +61,8 @@
 /**
  * Plans to which hosts a host sends load reports. In a large fleet a host sends them to the relay of its group, which
  * forwards them to its group and to the other relays, so that the traffic of an ordinary host doesn't grow with the
- * fleet. `isSilent` returns the hosts that can't serve as relays for now. Hosts may disagree on it, as each recipient
+ * fleet. `isSilent` tells whether a host can't serve as relay for now. Each host judges this by the datagrams that it has
+ * received itself, so hosts may choose different relays for a group. Reports are forwarded nevertheless, as each recipient
  * of a report with a scope forwards it, whether or not it considers itself a relay.
  */
 export const planRelays = (own: HostRecord, others: readonly HostRecord[], isSilent: (host: HostId) => boolean): RelayPlan => {
@@ -68,7 +70,7 @@
 		return {kind: 'direct', members: [...others]};
 	}
 
-	const groups = groupHostsByRelay([own, ...others]);
+	const groups = groupHosts([own, ...others]);
 	const isOwnGroup = (group: readonly HostRecord[]): boolean => group.includes(own);
 	const ownGroup = [...groups.values()].find(group => isOwnGroup(group)) ?? [own];
 	const relay = chooseRelay(ownGroup, isSilent);
--- a/packages/discovery/src/report-broadcast.ts
+++ b/packages/discovery/src/report-broadcast.ts
@@ -16,9 +16,9 @@
 export type ReportBroadcaster = {
 	/** Sends a report of this host to all others. */
 	send: (report: LoadReport) => void;
-	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
+	/** Sends changes of the store to the hosts of which this one is the relay. */
 	sendChanges: (batch: ChangeBatch) => void;
-	/** Returns whether a relay currently sends this host the changes of the key-value service. */
+	/** Returns whether a relay currently sends this host the changes of the store. */
 	hasRelayFeed: () => boolean;
 	close: () => void;
 };
@@ -31,7 +31,7 @@
 	logger: Logger;
 	/** Called with each report that another host has sent, forwarded ones included. */
 	onReport: (report: LoadReport) => void;
-	/** Called with the changes of the key-value service that a relay has sent. */
+	/** Called with the changes of the store that a relay has sent. */
 	onChanges: (batch: ChangeBatch) => void;
 };
 
@@ -39,7 +39,7 @@
 const relayBatchDelay: Milliseconds = 20;
 /** Age at which the relay plan is recomputed. */
 const planInterval: Milliseconds = 250;
-/** Age of a relay's last change batch up to which this host relies on the relay, instead of watching the service itself. */
+/** Age of a relay's last change batch up to which this host relies on the relay, instead of watching the store itself. */
 const relayFeedTimeout: Milliseconds = 1100;
 /** Maximum number of reports in one datagram, whose size is limited to 64 KB. */
 const maxReportsPerDatagram = 40;
--- a/packages/forwarder/src/serve-callers.ts
+++ b/packages/forwarder/src/serve-callers.ts
@@ -114,7 +114,7 @@
 	const isFresh = (): boolean => {
 		const now = clock.monotonic();
 		const isConfirmed = context.reportExchange.getNewestRevision() <= view.getRevision() && context.reportExchange.getShortestSilence() < maxConfirmationAge;
-		return isConfirmed || now - refreshedAt < maxFreshAge || view.getSilence(now) < maxFreshAge;
+		return isConfirmed || now - refreshedAt < maxFreshAge || view.getTimeSinceStoreContact(now) < maxFreshAge;
 	};
 
 	/** Refreshes a stale state; concurrent calls share one refresh. */
@@ -146,7 +146,7 @@
 		metrics.count('refusals_total', {reason: errorAnswer.kind});
 		logger.info('call-refused', {
 			request: head.attemptId, reason: errorAnswer.kind, target: request.url, version: view.getRoutes()?.configuration.version, revision: view.getRevision(),
-			age: Math.round(view.getSilence(clock.monotonic())),
+			age: Math.round(view.getTimeSinceStoreContact(clock.monotonic())),
 		});
 		writeErrorAnswer({
 			response, protocol, caller: head, isClosing: context.isStopping() || errorAnswer.kind === 'body-too-large',
