--- a/packages/policy/src/choose-upstream.ts
+++ b/packages/policy/src/choose-upstream.ts
@@ -5,8 +5,8 @@
 /** An upstream that may receive a ticket, with the state that determines its cost. */
 export type Candidate = {
 	upstream: GroupUpstream;
-	/** Whether it accepts new requests. */
-	available: boolean;
+	/** False while it is ejected or leaving. */
+	acceptsRequests: boolean;
 	/** Requests in flight, see `getLoad`. */
 	load: number;
 	/** Number of requests that may currently run on it at once. */
@@ -42,7 +42,7 @@
 
 /** Returns the candidates with a free slot that may run the ticket. */
 export const getEligible = (candidates: readonly Candidate[], ticket: Ticket): Candidate[] => candidates.filter(candidate =>
-	candidate.available
+	candidate.acceptsRequests
 	&& candidate.load < candidate.slots
 	&& canProvide(candidate.upstream, ticket.needs)
 	&& !ticket.avoid.includes(candidate.upstream.id)
--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -47,12 +47,12 @@
 	timeToFreeSlot: Milliseconds;
 	slots: number;
 	/** Fraction of the slots that is available to the request's tier, above 0 and up to 1. */
-	slotFraction: number;
+	tierSlotFraction: number;
 };
 
 /** Returns the expected waiting time for a slot. */
-export const getExpectedWait = ({ahead, timeToFreeSlot, slots, slotFraction}: QueueState): Milliseconds =>
-	timeToFreeSlot + (ahead / Math.max(1, slots * slotFraction));
+export const getExpectedWait = ({ahead, timeToFreeSlot, slots, tierSlotFraction}: QueueState): Milliseconds =>
+	timeToFreeSlot + (ahead / Math.max(1, slots * tierSlotFraction));
 
 /** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
 export const getLoad = (outstanding: number, outstandingAtReport: number, report: LoadReport | undefined): number => {
--- a/packages/policy/src/policy.test.ts
+++ b/packages/policy/src/policy.test.ts
@@ -116,7 +116,7 @@
 const createCandidate = (id: string, change: Partial<Candidate> = {}): Candidate => ({
 	upstream: {
 		id, kind: 'engine', zone: 'a', role: 'mixed', slots: 8, provides: new Set(['model:m']),
-	}, available: true, load: 0, slots: 8, relativeSpeed: 1, prefixes: new Set(), hasSuspect: false, ...change,
+	}, acceptsRequests: true, load: 0, slots: 8, relativeSpeed: 1, prefixes: new Set(), hasSuspect: false, ...change,
 });
 const ticket: Ticket = {
 	request: 'r', attempt: 1, customer: 'c', weight: 1, className: 'k', rank: 0, slack: 0, waited: 0,
@@ -132,7 +132,7 @@
 });
 
 test('never chooses a full, unavailable, avoided or unfit upstream, a straggler, or one that runs a suspect for another suspect', () => {
-	expect(choose([createCandidate('a', {load: 8}), createCandidate('b', {available: false})])).toBeUndefined();
+	expect(choose([createCandidate('a', {load: 8}), createCandidate('b', {acceptsRequests: false})])).toBeUndefined();
 	expect(choose([createCandidate('a')], {avoid: ['a']})).toBeUndefined();
 	expect(choose([createCandidate('a')], {needs: ['model:x']})).toBeUndefined();
 	expect(choose([createCandidate('a', {hasSuspect: true})], {isolated: true})).toBeUndefined();
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -13,7 +13,7 @@
 		upstream: UpstreamId;
 		/** Priority for the engine; the lowest number goes first. */
 		priority: number;
-		/** Aborted when the request must yield its slot. */
+		/** Aborted when a request of a higher tier preempts this one. */
 		preemptionSignal: AbortSignal;
 	}
 	| {kind: 'shed'; reason: ShedReason; retryAfter: Milliseconds}
@@ -28,7 +28,7 @@
 	avoid?: UpstreamId[];
 	/** True if the request must not run on an upstream together with another suspected of crashing upstreams. */
 	isolated?: boolean;
-	/** Number of times that the request has yielded its slot; 0 if absent. */
+	/** Number of preemptions of the request so far, sent as `yields`; 0 if absent. */
 	yields?: number;
 	/** True once part of the answer has reached the caller. */
 	resumed?: boolean;
@@ -87,7 +87,7 @@
 	hasMoved: boolean;
 	/** Resolves the promise that the caller waits for. */
 	resolve: (grant: GrantOutcome) => void;
-	/** Aborts the yield signal of the grant. */
+	/** Aborts the preemption signal of the grant. */
 	preemptionController: AbortController;
 };
 
--- a/packages/scheduler/src/owner/commands/account-time.ts
+++ b/packages/scheduler/src/owner/commands/account-time.ts
@@ -3,7 +3,7 @@
 import {getFloorDemands} from '../queries/precedence.js';
 import {getUsableSlots, type GroupState} from '../state.js';
 
-/** Time constant of the moving average of each rank's utilization. */
+/** Time constant of the moving average of each tier's utilization. */
 const utilizationWindow: Milliseconds = 3000;
 
 /** Adds the time since the last call to the debts of floors and to the utilization by rank. */
--- a/packages/scheduler/src/owner/commands/crash.ts
+++ b/packages/scheduler/src/owner/commands/crash.ts
@@ -1,13 +1,13 @@
 import {addCrash, removeSuspect, getSuspectStatus} from '@gentianlift/policy';
 import type {Milliseconds, TicketEnd, UpstreamId} from '@gentianlift/types';
-import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
+import {type TrackedTicket, getWaitingEntries, type GroupState} from '../state.js';
 import {shed} from './entries.js';
 
 /** Reports of an upstream's crash within this time of the first are about the same crash. */
 const crashWindow: Milliseconds = 5000;
 
 /** Records a crash that the end of a run reports; a run that finished clears its request of suspicion. */
-export const applyCrashOutcome = (state: GroupState, entry: Entry, end: TicketEnd): void => {
+export const applyCrashOutcome = (state: GroupState, entry: TrackedTicket, end: TicketEnd): void => {
 	if (entry.state.kind !== 'running') {
 		return;
 	}
@@ -44,7 +44,7 @@
 	}
 };
 
-/** Isolates waiting requests that are now suspects, and refuses those that now count as the cause of crashes. */
+/** Isolates waiting requests that are now suspects, and sheds those that now count as the cause of crashes. */
 const updateWaitingSuspects = (state: GroupState): void => {
 	const {suspects, clock} = state.context;
 	for (const entry of getWaitingEntries(state)) {
--- a/packages/scheduler/src/owner/commands/entries.ts
+++ b/packages/scheduler/src/owner/commands/entries.ts
@@ -8,7 +8,7 @@
 import {getPrecedence} from '../queries/precedence.js';
 import {getExpectedServiceTime} from '../queries/forecast.js';
 import {
-	type Entry, getEntryKey, getWaitingEntries, type GroupState, type UpstreamState,
+	type TrackedTicket, getEntryKey, getWaitingEntries, type GroupState, type UpstreamState,
 } from '../state.js';
 import {accountElapsedTime} from './account-time.js';
 
@@ -26,7 +26,7 @@
 };
 
 /** Adds a waiting entry and enqueues it; the queue grants it a slot once it is first in order and a slot is free. */
-export const addWaitingEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): Entry => {
+export const addWaitingEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): TrackedTicket => {
 	const entry = createEntry(state, ticket, origin);
 	accountElapsedTime(state);
 	state.entries.set(ticket.request, entry);
@@ -40,7 +40,7 @@
 };
 
 /** Adds an entry that already runs on an upstream, granted by another owner. */
-export const addRunningEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin, upstream: UpstreamId): Entry => {
+export const addRunningEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin, upstream: UpstreamId): TrackedTicket => {
 	const entry = createEntry(state, ticket, origin);
 	accountElapsedTime(state);
 	state.entries.set(ticket.request, entry);
@@ -61,7 +61,7 @@
 };
 
 /** Adds the grant of a running entry to the next message to its host; called again when the first message may have been lost. */
-export const addGrant = (state: GroupState, {host, ticket, state: {...entryState}}: Entry): void => {
+export const addGrant = (state: GroupState, {host, ticket, state: {...entryState}}: TrackedTicket): void => {
 	if (entryState.kind === 'running') {
 		addDecision(state, host, {
 			kind: 'granted', request: ticket.request, attempt: ticket.attempt, upstream: entryState.upstream, priority: ticket.rank,
@@ -70,7 +70,7 @@
 };
 
 /** Removes an entry from the group and frees its slot. */
-export const removeEntry = (state: GroupState, entry: Entry): void => {
+export const removeEntry = (state: GroupState, entry: TrackedTicket): void => {
 	accountElapsedTime(state);
 	state.entries.delete(entry.ticket.request);
 	if (entry.state.kind === 'running') {
@@ -80,23 +80,24 @@
 	entry.endTask();
 };
 
-/** Removes a waiting entry and refuses its request. */
-export const shed = (state: GroupState, entry: Entry, reason: ShedReason, retryAfter: number): void => {
+/** Removes a waiting entry and sheds its request. */
+export const shed = (state: GroupState, entry: TrackedTicket, reason: ShedReason, retryAfter: number): void => {
 	const {request, attempt, rank} = entry.ticket;
+	// A larger rank has lower priority.
 	if (reason !== 'no-upstream' && reason !== 'crashes-upstreams' && getWaitingEntries(state).some(other => other.ticket.rank > rank)) {
 		state.context.metrics.count('sheds_while_lower_waits', {reason, rank: String(rank)});
 	}
 
 	removeEntry(state, entry);
-	recordEndedAttempt(state, request, attempt);
+	rememberEndedAttempt(state, request, attempt);
 	addDecision(state, entry.host, {
 		kind: 'shed', request, attempt, reason, retryAfter: Math.ceil(retryAfter),
 	});
 	state.context.metrics.count('sheds', {reason, rank: String(rank)});
 };
 
-/** Records that an attempt has ended, so that late messages about it have no effect. */
-export const recordEndedAttempt = (state: GroupState, request: string, attempt: number): void => {
+/** Remembers that an attempt has ended, so that late messages about it have no effect. Re-insertion keeps the attempts in order of time. */
+export const rememberEndedAttempt = (state: GroupState, request: string, attempt: number): void => {
 	const known = state.endedAttempts.get(request)?.attempt ?? 0;
 	state.endedAttempts.delete(request);
 	state.endedAttempts.set(request, {attempt: Math.max(known, attempt), at: state.context.clock.monotonic()});
@@ -122,10 +123,10 @@
 	}
 };
 
-/** Counts a grant to an entry while one of a higher rank waits that could run on the same upstream; only a floor may cause that. */
-const countPriorityInversion = (state: GroupState, {ticket}: Entry, id: UpstreamId): void => {
+/** Counts a grant to an entry while one of a higher tier, which has a smaller rank, waits that could run on the same upstream; only a floor may cause that. */
+const countPriorityInversion = (state: GroupState, {ticket}: TrackedTicket, id: UpstreamId): void => {
 	const upstream = state.upstreams.get(id)?.upstream;
-	const isPassedOver = ({ticket: other}: Entry): boolean =>
+	const isPassedOver = ({ticket: other}: TrackedTicket): boolean =>
 		other.rank < ticket.rank && !other.isolated && !other.avoid.includes(id) && upstream !== undefined && canProvide(upstream, other.needs);
 	if (getWaitingEntries(state).some(other => isPassedOver(other))) {
 		const isFloorDue = getPrecedence(state, []).floorsDue.includes(ticket.rank);
@@ -133,7 +134,7 @@
 	}
 };
 
-const createEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): Entry => {
+const createEntry = (state: GroupState, ticket: Ticket, origin: TicketOrigin): TrackedTicket => {
 	const {clock, suspects} = state.context;
 	const now = clock.monotonic();
 	const isSuspected = getSuspectStatus(suspects, ticket.fingerprint, clock.now()) !== 'clear';
@@ -154,14 +155,14 @@
 	};
 };
 
-const setRunning = (state: GroupState, entry: Entry, upstream: UpstreamId): void => {
+const setRunning = (state: GroupState, entry: TrackedTicket, upstream: UpstreamId): void => {
 	entry.state = {
-		kind: 'running', upstream, startedAt: state.context.clock.monotonic(), expectedDuration: getExpectedServiceTime(state, entry.ticket), yielding: false,
+		kind: 'running', upstream, startedAt: state.context.clock.monotonic(), expectedDuration: getExpectedServiceTime(state, entry.ticket), isBeingPreempted: false,
 	};
 	state.upstreams.get(upstream)?.running.add(entry);
 };
 
-const enqueue = async (state: GroupState, entry: Entry, signal: AbortSignal): Promise<void> => {
+const enqueue = async (state: GroupState, entry: TrackedTicket, signal: AbortSignal): Promise<void> => {
 	try {
 		await state.queue.add(async () => waitForAbort(signal), {entry, id: entry.key, signal});
 	} catch {
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -2,9 +2,9 @@
 import type {
 	GrantRequest, HeldTicket, RequestId, Ticket, TicketEnd,
 } from '@gentianlift/types';
-import {type Entry, type GroupState} from '../state.js';
+import {type TrackedTicket, type GroupState} from '../state.js';
 import {
-	addDecision, addGrant, addRunningEntry, addWaitingEntry, recordEndedAttempt, removeEntry, type TicketOrigin,
+	addDecision, addGrant, addRunningEntry, addWaitingEntry, rememberEndedAttempt, removeEntry, type TicketOrigin,
 } from './entries.js';
 import {applyCrashOutcome} from './crash.js';
 import {updateEstimates} from './update-estimates.js';
@@ -26,6 +26,11 @@
 	return unknownRequests.filter(request => !message.asks.some(ticket => ticket.request === request));
 };
 
+/**
+ * Records the sequence number of a message; returns false if the host has sent a newer one. The larger incarnation counts
+ * as the newer. If the wall clock stepped back before a restart, the host's incarnation is smaller than the known one; its
+ * messages then don't count as newest, so that the tickets that they list as held are not reconciled.
+ */
 const recordSequence = (state: GroupState, {host, incarnation, sequence}: TicketOrigin): boolean => {
 	const known = state.latestSequences.get(host);
 	const isNewest = known === undefined || incarnation > known.incarnation || (incarnation === known.incarnation && sequence > known.sequence);
@@ -56,16 +61,16 @@
 
 	const {suspects, clock} = state.context;
 	if (getSuspectStatus(suspects, ticket.fingerprint, clock.now()) === 'guilty') {
-		refuseCrashingTicket(state, ticket, origin);
+		shedCrashingTicket(state, ticket, origin);
 		return;
 	}
 
 	addWaitingEntry(state, ticket, origin);
 };
 
-const refuseCrashingTicket = (state: GroupState, {request, attempt, rank}: Ticket, {host}: TicketOrigin): void => {
+const shedCrashingTicket = (state: GroupState, {request, attempt, rank}: Ticket, {host}: TicketOrigin): void => {
 	const reason = 'crashes-upstreams';
-	recordEndedAttempt(state, request, attempt);
+	rememberEndedAttempt(state, request, attempt);
 	addDecision(state, host, {
 		kind: 'shed', request, attempt, reason, retryAfter: 0,
 	});
@@ -73,7 +78,7 @@
 };
 
 const applyEnd = (state: GroupState, end: TicketEnd): void => {
-	recordEndedAttempt(state, end.request, end.attempt);
+	rememberEndedAttempt(state, end.request, end.attempt);
 	const entry = state.entries.get(end.request);
 	if (entry === undefined || entry.ticket.attempt > end.attempt) {
 		return;
@@ -125,14 +130,14 @@
 };
 
 /** Replaces a waiting entry by a running one, since another owner granted it. */
-const replaceWithRunning = (state: GroupState, known: Entry, origin: TicketOrigin, upstream: string): true => {
+const replaceWithRunning = (state: GroupState, known: TrackedTicket, origin: TicketOrigin, upstream: string): true => {
 	removeEntry(state, known);
 	addRunningEntry(state, known.ticket, origin, upstream);
 	return true;
 };
 
 /** Sends the grant again if the host still reports the request as waiting, which means that the first message was lost. */
-const repeatGrant = (state: GroupState, known: Entry, upstream: string | undefined): true => {
+const repeatGrant = (state: GroupState, known: TrackedTicket, upstream: string | undefined): true => {
 	if (upstream === undefined) {
 		addGrant(state, known);
 	}
@@ -140,6 +145,6 @@
 	return true;
 };
 
-const refreshEntry = (state: GroupState, entry: Entry): void => {
+const refreshEntry = (state: GroupState, entry: TrackedTicket): void => {
 	entry.refreshedAt = state.context.clock.monotonic();
 };
--- a/packages/scheduler/src/owner/commands/preempt.ts
+++ b/packages/scheduler/src/owner/commands/preempt.ts
@@ -5,17 +5,17 @@
 	getEstimates, getRemainingTime, getTimeToTarget, isServiceCall,
 } from '../queries/forecast.js';
 import {getGrantOrder} from '../queries/grant-order.js';
-import {type Entry, getUsableSlots, type GroupState} from '../state.js';
+import {type TrackedTicket, getUsableSlots, type GroupState} from '../state.js';
 import {addDecision} from './entries.js';
 
-/** How often one request may be preempted. */
-export const maxYields = 2;
+/** Maximum number of preemptions of one request; its ticket carries their number as `yields`. */
+export const maxPreemptions = 2;
 /** Waiting entries that are checked in one pass. */
 const maxEntriesPerPass = 32;
 /** A run is preempted only if its remaining time is more than this many times the cost of restarting it. */
 const restartFactor = 2;
 
-/** Preempts runs of lower ranks in favour of waiting entries that would otherwise miss their targets. */
+/** Preempts runs of lower tiers in favour of waiting entries that would otherwise miss their targets. */
 export const preempt = (state: GroupState): void => {
 	if (state.context.disabledMechanisms.has('preemption')) {
 		return;
@@ -24,29 +24,31 @@
 	const inOrder = getGrantOrder(state).slice(0, maxEntriesPerPass);
 	const candidates = inOrder.length === 0 ? [] : getCandidates(state);
 	const now = state.context.clock.monotonic();
-	let pendingYields = [...state.entries.values()].filter(entry => entry.state.kind === 'running' && entry.state.yielding).length;
+	// The slots of runs that have been asked to yield, but still hold them, go to the first entries in order.
+	let pendingPreemptions = [...state.entries.values()].filter(entry => entry.state.kind === 'running' && entry.state.isBeingPreempted).length;
 	for (const [position, entry] of inOrder.entries()) {
-		if (pendingYields > 0) {
-			pendingYields--;
+		if (pendingPreemptions > 0) {
+			pendingPreemptions--;
 		} else if (isTargetAtRisk(state, entry, candidates, position)) {
 			preemptFor(state, entry, now);
 		}
 	}
 };
 
-const preemptFor = (state: GroupState, entry: Entry, now: Milliseconds): void => {
+const preemptFor = (state: GroupState, entry: TrackedTicket, now: Milliseconds): void => {
 	const victim = getVictim(state, entry, now);
 	if (victim?.state.kind !== 'running') {
 		return;
 	}
 
-	victim.state.yielding = true;
+	victim.state.isBeingPreempted = true;
+	// The `yield` decision tells the host to preempt the run.
 	addDecision(state, victim.host, {kind: 'yield', request: victim.ticket.request, attempt: victim.ticket.attempt});
 	state.context.metrics.count('yields', {rank: String(victim.ticket.rank)});
 };
 
 /** Whether the entry is expected to miss its target if it waits until its position in the order gets a slot. */
-const isTargetAtRisk = (state: GroupState, entry: Entry, candidates: readonly Candidate[], position: number): boolean => {
+const isTargetAtRisk = (state: GroupState, entry: TrackedTicket, candidates: readonly Candidate[], position: number): boolean => {
 	if (hasFreeSlot(state, candidates, entry.ticket)) {
 		return false;
 	}
@@ -57,9 +59,10 @@
 	return entry.deadline - now - getTimeToTarget(state, entry.ticket) < timeToSlot;
 };
 
-/** Returns the run whose preemption costs least: of the lowest rank, the one with the longest remaining time. */
-const getVictim = (state: GroupState, entry: Entry, now: Milliseconds): Entry | undefined => {
+/** Returns the run whose preemption costs least: of the lowest tier, the one with the longest remaining time. */
+const getVictim = (state: GroupState, entry: TrackedTicket, now: Milliseconds): TrackedTicket | undefined => {
 	const counts = getRunningCounts(state);
+	// A larger rank has lower priority.
 	const victims = getCompetingRuns(state, entry).filter(running =>
 		running.ticket.rank > entry.ticket.rank && isPreemptible(state, running, counts) && isWorthPreempting(state, running, now));
 	return victims.toSorted((first, second) =>
@@ -67,26 +70,26 @@
 };
 
 /** Returns the runs on upstreams that could serve the entry. */
-const getCompetingRuns = (state: GroupState, {ticket}: Entry): Entry[] => [...state.upstreams.values()]
+const getCompetingRuns = (state: GroupState, {ticket}: TrackedTicket): TrackedTicket[] => [...state.upstreams.values()]
 	.filter(({upstream, standing}) => standing === 'available' && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
 	.flatMap(({running}) => [...running]);
 
-/** Whether a run may be preempted: it is idempotent and no service call, its rank has more than its floor, and it has yielded fewer than `maxYields` times. */
-const isPreemptible = (state: GroupState, {ticket, state: entryState}: Entry, counts: ReadonlyMap<Rank, number>): boolean => {
+/** Whether a run may be preempted: it is idempotent and no service call, its tier uses more slots than its floor, and it has been preempted fewer than `maxPreemptions` times. */
+const isPreemptible = (state: GroupState, {ticket, state: entryState}: TrackedTicket, counts: ReadonlyMap<Rank, number>): boolean => {
 	const floor = Math.ceil((state.context.tiers[ticket.rank]?.floor ?? 0) * getUsableSlots(state));
 	const isAboveFloor = state.context.disabledMechanisms.has('floor') || (counts.get(ticket.rank) ?? 0) > floor;
-	const isYielding = entryState.kind === 'running' && entryState.yielding;
-	return !isYielding && isAboveFloor && ticket.idempotent && !isServiceCall(ticket) && (ticket.yields ?? 0) < maxYields;
+	const isBeingPreempted = entryState.kind === 'running' && entryState.isBeingPreempted;
+	return !isBeingPreempted && isAboveFloor && ticket.idempotent && !isServiceCall(ticket) && (ticket.yields ?? 0) < maxPreemptions;
 };
 
-const isWorthPreempting = (state: GroupState, entry: Entry, now: Milliseconds): boolean =>
+const isWorthPreempting = (state: GroupState, entry: TrackedTicket, now: Milliseconds): boolean =>
 	getRemainingTime(entry, now) > restartFactor * getEstimates(state, entry.ticket).timeToFirstToken.mean;
 
-/** Returns the number of runs by rank, without those that are already asked to yield. */
+/** Returns the number of runs by rank, without those that are already being preempted. */
 const getRunningCounts = (state: GroupState): Map<Rank, number> => {
 	const counts = new Map<Rank, number>();
 	for (const {ticket, state: entryState} of state.entries.values()) {
-		if (entryState.kind === 'running' && !entryState.yielding) {
+		if (entryState.kind === 'running' && !entryState.isBeingPreempted) {
 			counts.set(ticket.rank, (counts.get(ticket.rank) ?? 0) + 1);
 		}
 	}
--- a/packages/scheduler/src/owner/commands/run-pass.ts
+++ b/packages/scheduler/src/owner/commands/run-pass.ts
@@ -10,13 +10,13 @@
 /** How long the end of an attempt is kept to recognise late messages about it. */
 const endedAttemptExpiry: Milliseconds = 60_000;
 
-/** Minimum time between two passes of a group. */
-const minPassInterval: Milliseconds = 20;
+/** Minimum time since the last pass of a group after which a message triggers another one; the timer's passes disregard it. */
+const minMessagePassInterval: Milliseconds = 20;
 
-/** Grants free slots, and runs a scheduling pass if the minimum interval since the last one is over. */
+/** Grants free slots after a message, and runs a scheduling pass if the minimum time since the last one is over. */
 export const runPassIfDue = (state: GroupState): void => {
 	grantFreeSlots(state);
-	if (state.context.clock.monotonic() - state.lastPassAt >= minPassInterval) {
+	if (state.context.clock.monotonic() - state.lastPassAt >= minMessagePassInterval) {
 		runPass(state);
 	}
 };
@@ -48,6 +48,7 @@
 		}
 	}
 
+	// The attempts are in order of time, as `rememberEndedAttempt` re-inserts each that it records: all after the first recent one are recent.
 	for (const [request, {at}] of state.endedAttempts) {
 		if (now - at <= endedAttemptExpiry) {
 			return;
--- a/packages/scheduler/src/owner/commands/shed.ts
+++ b/packages/scheduler/src/owner/commands/shed.ts
@@ -5,16 +5,16 @@
 	getCapacityForecast, getConservativeTimeToTarget, getExpectedServiceTime, getTicketWait, getTimeToTarget, hasEnoughSamples,
 } from '../queries/forecast.js';
 import {getExpectedWaits, getGrantOrder} from '../queries/grant-order.js';
-import {type Entry, getWaitingEntries, type GroupState} from '../state.js';
+import {type TrackedTicket, getWaitingEntries, type GroupState} from '../state.js';
 import {shed} from './entries.js';
 
 /** Maximum number of waiting tickets of a group. */
 export const maxWaitingTickets = 512;
 /** Maximum time that a ticket waits. */
 export const maxQueueTime: Milliseconds = 900_000;
-/** How long a ticket waits for an upstream to become available before it is refused. */
+/** How long a ticket waits for an upstream to become available before it is shed. */
 const upstreamGracePeriod: Milliseconds = 2000;
-/** Minimum delay given to a refused request. */
+/** Minimum delay after which the caller of a shed request may send it again. */
 const minRetryAfter: Milliseconds = 1000;
 /** Fraction of a ticket's slack that its expected wait may take up. */
 const admissionSlackFraction = 0.85;
@@ -29,19 +29,19 @@
 	const candidates = getCandidates(state);
 	const waits = getExpectedWaits(state, inOrder);
 	for (const entry of inOrder) {
-		const reason = getDefiniteReason(state, entry, candidates);
+		const reason = getUnservableReason(state, entry, candidates);
 		if (reason !== undefined) {
 			shed(state, entry, reason, getRetryAfter(state, entry, waits.get(entry) ?? 0));
 		}
 	}
 
-	// In degraded mode the owner doesn't know the load from other hosts, so its estimates are too uncertain to refuse requests.
-	if (!state.context.disabledMechanisms.has('admission') && state.slotFraction === 1) {
-		shedUnreachable(state, inOrder.filter(({ticket}) => state.entries.has(ticket.request)));
+	// In degraded mode the owner doesn't know the load from other hosts, so its expected waits are too uncertain to shed requests by them.
+	if (!state.context.disabledMechanisms.has('admission') && state.ownerSlotFraction === 1) {
+		shedByExpectedWait(state, inOrder.filter(({ticket}) => state.entries.has(ticket.request)));
 	}
 };
 
-/** Sheds the entries above the maximum queue length: those of the lowest ranks, and of a rank the last in order. */
+/** Sheds the entries above the maximum queue length: those of the lowest tiers, which have the largest ranks, and of a tier the last in order. */
 export const shedExcess = (state: GroupState): void => {
 	const waiting = getWaitingEntries(state);
 	if (waiting.length <= maxWaitingTickets) {
@@ -57,16 +57,17 @@
 };
 
 /**
- * Sheds entries whose expected wait makes them miss their target. As this rests on an estimate alone,
- * it applies only to the lowest rank that waits: a higher rank is never shed by estimate while a lower one waits.
+ * Sheds entries whose expected wait makes them miss their target. As the wait is only an estimate, this applies
+ * to the lowest tier that waits: a request is never shed for its estimated wait while one of a lower tier waits.
  */
-const shedUnreachable = (state: GroupState, inOrder: readonly Entry[]): void => {
+const shedByExpectedWait = (state: GroupState, inOrder: readonly TrackedTicket[]): void => {
+	// A larger rank has lower priority.
 	const lowestRank = Math.max(...inOrder.map(({ticket}) => ticket.rank));
 	const forecast = getCapacityForecast(state);
 	let serviceAhead = 0;
 	for (const entry of inOrder) {
 		const wait = getTicketWait(forecast, entry.ticket.rank, serviceAhead);
-		if (entry.ticket.rank === lowestRank && isUnreachable(state, entry, wait)) {
+		if (entry.ticket.rank === lowestRank && isTargetUnreachable(state, entry, wait)) {
 			const isOutranked = inOrder[0] !== undefined && inOrder[0].ticket.rank < lowestRank;
 			shed(state, entry, isOutranked ? 'outranked' : 'deadline-unreachable', getRetryAfter(state, entry, wait));
 		} else {
@@ -75,12 +76,16 @@
 	}
 };
 
-const isUnreachable = (state: GroupState, {ticket, deadline}: Entry, wait: Milliseconds): boolean => {
+const isTargetUnreachable = (state: GroupState, {ticket, deadline}: TrackedTicket, wait: Milliseconds): boolean => {
 	const slack = deadline - state.context.clock.monotonic() - getConservativeTimeToTarget(state, ticket);
 	return ticket.resumed !== true && hasEnoughSamples(state, ticket) && wait > slack * admissionSlackFraction;
 };
 
-const getDefiniteReason = (state: GroupState, entry: Entry, candidates: readonly Candidate[]): ShedReason | undefined => {
+/**
+ * Returns why an entry of any tier is to be shed, whatever its place in the order: it has waited too long, no upstream
+ * can serve it, or the estimated time to target alone exceeds the remaining slack.
+ */
+const getUnservableReason = (state: GroupState, entry: TrackedTicket, candidates: readonly Candidate[]): ShedReason | undefined => {
 	const {ticket, since, deadline} = entry;
 	const now = state.context.clock.monotonic();
 	if (now - since > maxQueueTime) {
@@ -96,11 +101,11 @@
 	return isLate ? 'deadline-unreachable' : undefined;
 };
 
-const canServe = ({available, upstream}: Candidate, ticket: Ticket): boolean =>
-	available && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id);
+const canServe = ({acceptsRequests, upstream}: Candidate, ticket: Ticket): boolean =>
+	acceptsRequests && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id);
 
 /** Returns the time after which the same request, sent again, is expected to meet its target. */
-const getRetryAfter = (state: GroupState, entry: Entry, wait: Milliseconds): Milliseconds => {
+const getRetryAfter = (state: GroupState, entry: TrackedTicket, wait: Milliseconds): Milliseconds => {
 	const allowance = entry.deadline - entry.since;
 	return Math.max(minRetryAfter, wait + getConservativeTimeToTarget(state, entry.ticket) - allowance);
 };
--- a/packages/scheduler/src/owner/commands/update-estimates.ts
+++ b/packages/scheduler/src/owner/commands/update-estimates.ts
@@ -1,7 +1,7 @@
 import {addSample, chargeService, createEstimate} from '@gentianlift/policy';
 import type {Milliseconds, TicketEnd} from '@gentianlift/types';
 import {defaultTimePerOutputToken, getEstimates, getExpectedServiceTime} from '../queries/forecast.js';
-import type {Entry, GroupState} from '../state.js';
+import type {TrackedTicket, GroupState} from '../state.js';
 
 /** Upper bound of a sample of `slotHoldRatio`. */
 export const maxSlotHoldRatio = 1.5;
@@ -11,7 +11,7 @@
 const recentRunExpiry: Milliseconds = 10_000;
 
 /** Updates the estimates from a run that ended, and charges its customer the difference between actual and expected service. */
-export const updateEstimates = (state: GroupState, entry: Entry, end: TicketEnd): void => {
+export const updateEstimates = (state: GroupState, entry: TrackedTicket, end: TicketEnd): void => {
 	if (entry.state.kind !== 'running') {
 		return;
 	}
@@ -28,7 +28,7 @@
 	updateSlotHoldRatio(state, entry, end);
 };
 
-const recordRecentRun = (state: GroupState, entry: Entry, end: TicketEnd): void => {
+const recordRecentRun = (state: GroupState, entry: TrackedTicket, end: TicketEnd): void => {
 	if (entry.state.kind !== 'running') {
 		return;
 	}
@@ -43,7 +43,7 @@
 	}
 };
 
-const updateClassEstimates = (state: GroupState, {ticket}: Entry, end: TicketEnd): void => {
+const updateClassEstimates = (state: GroupState, {ticket}: TrackedTicket, end: TicketEnd): void => {
 	const known = getEstimates(state, ticket);
 	state.estimates.set(ticket.className, {
 		outputTokens: addSample(known.outputTokens, end.tokens),
@@ -52,7 +52,7 @@
 	});
 };
 
-const updateSlotHoldRatio = (state: GroupState, {state: entryState}: Entry, {duration}: TicketEnd): void => {
+const updateSlotHoldRatio = (state: GroupState, {state: entryState}: TrackedTicket, {duration}: TicketEnd): void => {
 	const upstream = entryState.kind === 'running' ? state.upstreams.get(entryState.upstream) : undefined;
 	if (upstream !== undefined && entryState.kind === 'running' && duration > 0) {
 		const ratio = (state.context.clock.monotonic() - entryState.startedAt) / duration;
@@ -60,7 +60,7 @@
 	}
 };
 
-const updateTimePerOutputToken = (state: GroupState, entry: Entry, end: TicketEnd): void => {
+const updateTimePerOutputToken = (state: GroupState, entry: TrackedTicket, end: TicketEnd): void => {
 	if (entry.state.kind !== 'running' || end.firstTokenAfter === undefined || end.tokens < 2) {
 		return;
 	}
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -41,7 +41,8 @@
 
 /**
  * Grants upstream slots to the requests for the groups that this host owns.
- * For a group whose owner can't be reached, it grants this host's own requests an even share of the slots.
+ * It also acts for groups of other owners, in degraded mode: the group's owner can't be reached, so this host grants
+ * its own share of the slots, the same for each live host, to its own requests.
  */
 export type GroupOwner = {
 	/** Handles a batch of a host. */
@@ -52,7 +53,7 @@
 	applyConfiguration: (version: ConfigurationVersion) => void;
 	/** Records the latest load report of an upstream, and grants slots that it shows to be free. */
 	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
-	/** Records that a host has seen an upstream leave or crash. */
+	/** Records that a host has seen an upstream leave or crash; other kinds have no effect here. */
 	applySighting: (sighting: UpstreamSighting) => void;
 	/** Records the availability of an upstream. */
 	applyStanding: (upstream: UpstreamId, standing: Standing) => void;
@@ -76,7 +77,7 @@
 	readonly #registry: UpstreamRegistry;
 	readonly #cancel: Cancel;
 	readonly #owned = new Map<GroupId, GroupState>();
-	/** Groups whose owner can't be reached, limited to this host's fraction of their slots. */
+	/** Groups in degraded mode, which this host doesn't own; limited to its share of their slots. */
 	readonly #degraded = new Map<GroupId, GroupState>();
 	#groups = new Map<GroupId, Group>();
 
@@ -107,8 +108,8 @@
 
 	readonly handleDegraded = (message: GrantRequest): GrantAnswer => {
 		const {group} = message;
-		const slotFraction = 1 / Math.max(1, this.#options.getHosts().length);
-		const state = this.#getState(this.#degraded, group, slotFraction);
+		const ownerSlotFraction = 1 / Math.max(1, this.#options.getHosts().length);
+		const state = this.#getState(this.#degraded, group, ownerSlotFraction);
 		return state === undefined ? {owner: false, group, decisions: []} : handleMessage(state, this.#options.self, message, this.#options.push);
 	};
 
@@ -161,14 +162,14 @@
 		return this.#options.getOwnerOf(group) === this.#options.self;
 	}
 
-	#getState(states: Map<GroupId, GroupState>, id: GroupId, slotFraction: number): GroupState | undefined {
+	#getState(states: Map<GroupId, GroupState>, id: GroupId, ownerSlotFraction: number): GroupState | undefined {
 		const group = this.#groups.get(id);
 		const known = states.get(id);
 		if (known !== undefined || group === undefined) {
 			return known;
 		}
 
-		const state = createGroupState(this.#context, group, slotFraction);
+		const state = createGroupState(this.#context, group, ownerSlotFraction);
 		this.#restoreUpstreams(state);
 		states.set(id, state);
 		return state;
--- a/packages/scheduler/src/owner/create-group-state.ts
+++ b/packages/scheduler/src/owner/create-group-state.ts
@@ -17,7 +17,7 @@
 const queueConcurrencyFactor = 2;
 
 /** Creates the state of a group with no tickets. */
-export const createGroupState = (context: OwnerContext, group: Group, slotFraction: number): GroupState => {
+export const createGroupState = (context: OwnerContext, group: Group, ownerSlotFraction: number): GroupState => {
 	const now = context.clock.monotonic();
 	const slots = group.upstreams.reduce((sum, upstream) => sum + upstream.slots, 0);
 	const state: GroupState = {
@@ -33,7 +33,7 @@
 		lastPassAt: now,
 		estimates: new Map(),
 		reconciledAt: now + reconciliationPeriod,
-		slotFraction,
+		ownerSlotFraction,
 		outbox: new Map(),
 		latestSequences: new Map(),
 		queue: new PQueue<GrantQueue, GrantQueueOptions>({
--- a/packages/scheduler/src/owner/grant-queue.ts
+++ b/packages/scheduler/src/owner/grant-queue.ts
@@ -1,14 +1,14 @@
 import type {Queue, QueueAddOptions} from 'p-queue';
 import type {UpstreamId} from '@gentianlift/types';
-import type {Entry} from './state.js';
+import type {TrackedTicket} from './state.js';
 
 type Task = () => Promise<unknown>;
 
 /** Options of a task in a group's queue. */
-export type GrantQueueOptions = QueueAddOptions & {entry?: Entry};
+export type GrantQueueOptions = QueueAddOptions & {entry?: TrackedTicket};
 
 /** An entry and the upstream that is chosen for it. */
-export type Assignment = {entry: Entry; upstream: UpstreamId};
+export type Assignment = {entry: TrackedTicket; upstream: UpstreamId};
 
 /** A custom queue for p-queue. */
 export type GrantQueue = Queue<Task, GrantQueueOptions>;
@@ -16,7 +16,7 @@
 /** Chooses the entries that leave a queue. */
 export type EntrySelector = {
 	/** Returns the entry to run next and its upstream; undefined while no upstream has a free slot for any entry. */
-	selectNext: (entries: Iterable<Entry>) => Assignment | undefined;
+	selectNext: (entries: Iterable<TrackedTicket>) => Assignment | undefined;
 	/** Called before the entry's task starts. */
 	grantSlot: (assignment: Assignment) => void;
 };
@@ -26,7 +26,7 @@
  * Its size is 0 while no entry has a free slot, so that p-queue dequeues only tasks that can run.
  */
 export const createQueueClass = (selector: EntrySelector): new () => GrantQueue => class {
-	readonly #tasks = new Map<Entry, Task>();
+	readonly #tasks = new Map<TrackedTicket, Task>();
 	#next: Assignment | undefined;
 
 	get size(): number {
--- a/packages/scheduler/src/owner/index.ts
+++ b/packages/scheduler/src/owner/index.ts
@@ -3,4 +3,4 @@
 } from './state.js';
 export * from './create-group-owner.js';
 export type {GroupOverview, RankOverview} from './queries/overview.js';
-export {maxYields} from './commands/preempt.js';
+export {maxPreemptions} from './commands/preempt.js';
--- a/packages/scheduler/src/owner/queries/candidates.ts
+++ b/packages/scheduler/src/owner/queries/candidates.ts
@@ -8,7 +8,7 @@
 const maxReportAge: Milliseconds = 10_000;
 /** Tolerance when the time of a load report, by the engine's clock, is compared with the times of grants, by the owner's clock. */
 const reportTimeTolerance: Milliseconds = 150;
-/** Requests in a load report without a grant of this owner that are ignored once earlier owners' grants are known. */
+/** Number of requests in a load report that exceed this owner's grants and are still taken for measurement error, once the grants of earlier owners are known. */
 const foreignRequestTolerance = 2;
 /** Fraction of its slots that a straggler keeps, so that its speed is still measured. */
 const stragglerSlotFraction = 0.25;
@@ -16,7 +16,7 @@
 const unreconciledSlotFraction = 0.5;
 /** Maximum fraction of a group's upstreams that are treated as stragglers. */
 const maxStragglerFraction = 0.34;
-/** Samples from which an upstream's speed is compared with that of others. */
+/** Minimum number of samples before an upstream's speed is compared with that of others. */
 const minSpeedSamples = 5;
 
 /** Returns every upstream of a group with the facts that the choice among them depends on. */
@@ -25,7 +25,7 @@
 	const stragglers = getStragglers(state, speeds);
 	return [...state.upstreams.values()].map(upstream => ({
 		upstream: upstream.upstream,
-		available: upstream.standing === 'available' || upstream.standing === 'probing',
+		acceptsRequests: upstream.standing === 'available' || upstream.standing === 'probing',
 		load: getUpstreamLoad(state, upstream),
 		slots: getUpstreamSlots(state, upstream, stragglers.has(upstream)),
 		relativeSpeed: speeds.get(upstream) ?? 1,
@@ -58,7 +58,7 @@
 		return 1;
 	}
 
-	const fraction = state.slotFraction * (isStraggler ? stragglerSlotFraction : 1) * (isUnreconciled ? unreconciledSlotFraction : 1);
+	const fraction = state.ownerSlotFraction * (isStraggler ? stragglerSlotFraction : 1) * (isUnreconciled ? unreconciledSlotFraction : 1);
 	// A slot is already free at the upstream while the message about it travels, so more grants than slots may be outstanding.
 	return Math.max(1, Math.floor(upstream.slots * fraction * slotHoldRatio.mean));
 };
@@ -70,7 +70,7 @@
 	}
 
 	const wasRunningAtReport = (startedAt: Milliseconds, endedAt: Milliseconds): boolean =>
-		startedAt <= load.at + reportTimeTolerance && endedAt >= load.at - reportTimeTolerance;
+		startedAt <= load.measuredAt + reportTimeTolerance && endedAt >= load.measuredAt - reportTimeTolerance;
 	const runningAtReport = [...running].filter(({state}) => state.kind === 'running' && wasRunningAtReport(state.startedAt, now));
 	const endedSinceReport = recentRuns.filter(run => wasRunningAtReport(run.startedAt, run.endedAt));
 	const tolerance = now < state.reconciledAt ? 0 : foreignRequestTolerance;
--- a/packages/scheduler/src/owner/queries/forecast.ts
+++ b/packages/scheduler/src/owner/queries/forecast.ts
@@ -3,7 +3,7 @@
 } from '@gentianlift/policy';
 import type {Milliseconds, Rank, Ticket} from '@gentianlift/types';
 import {
-	type ClassEstimates, type Entry, getUsableSlots, type GroupState,
+	type ClassEstimates, type TrackedTicket, getUsableSlots, type GroupState,
 } from '../state.js';
 
 /** Time per output token that is assumed until samples exist. */
@@ -12,7 +12,7 @@
 const defaultTimeToFirstToken: Milliseconds = 200;
 /** Duration of a call of an application service that is assumed until samples exist. */
 const defaultCallDuration: Milliseconds = 200;
-/** Samples from which a request may be refused on an estimate. */
+/** Minimum number of samples before a request may be shed on an estimate. */
 const minSamples = 8;
 /** Remaining time that is assumed for a run past its expected end, as a fraction of its time so far. */
 const overrunFraction = 0.5;
@@ -24,7 +24,7 @@
 	duration: createEstimate(ticket.expectedTokens === 0 ? defaultCallDuration : defaultTimeToFirstToken + (ticket.expectedTokens * defaultTimePerOutputToken)),
 };
 
-/** Whether the estimates of the ticket's class have enough samples to refuse a request on them. */
+/** Whether the estimates of the ticket's class have enough samples to shed a request on them. */
 export const hasEnoughSamples = (state: GroupState, ticket: Ticket): boolean => getEstimates(state, ticket).duration.samples >= minSamples;
 
 /** Returns the time for which a ticket is expected to hold its slot. */
@@ -46,7 +46,7 @@
 export const isServiceCall = (ticket: Ticket): boolean => ticket.needs.some(need => need.startsWith('service:'));
 
 /** Returns the time until the expected end of a run; 0 for a waiting entry. */
-export const getRemainingTime = (entry: Entry, now: Milliseconds): Milliseconds => {
+export const getRemainingTime = (entry: TrackedTicket, now: Milliseconds): Milliseconds => {
 	if (entry.state.kind === 'waiting') {
 		return 0;
 	}
@@ -61,7 +61,7 @@
 	slots: number;
 	/** Expected time until the first slot is free. */
 	timeToFreeSlot: Milliseconds;
-	/** Fraction of the slots that each rank can rely on: what higher ranks leave over, or its floor if that is more. */
+	/** Fraction of the slots that each tier, by rank, can rely on: what higher tiers leave over, or its floor if that is more. */
 	rankFractions: readonly number[];
 };
 
@@ -77,9 +77,13 @@
 /** Returns the expected wait of a ticket with the given service time queued ahead of it. */
 export const getTicketWait = ({slots, timeToFreeSlot, rankFractions}: CapacityForecast, rank: Rank, ahead: Milliseconds): Milliseconds =>
 	getExpectedWait({
-		ahead, timeToFreeSlot, slots, slotFraction: rankFractions[rank] ?? 1,
+		ahead, timeToFreeSlot, slots, tierSlotFraction: rankFractions[rank] ?? 1,
 	});
 
+/**
+ * Returns 0 while fewer requests run than there are slots. Otherwise returns the shortest expected remaining time of a run,
+ * divided by the square root of the number of runs, so that more runs give a shorter time.
+ */
 const getTimeToFreeSlot = (state: GroupState, slots: number, now: Milliseconds): Milliseconds => {
 	let running = 0;
 	let minRemaining = Number.POSITIVE_INFINITY;
@@ -93,9 +97,11 @@
 	return running < Math.floor(slots) ? 0 : minRemaining / Math.max(1, Math.sqrt(running));
 };
 
+/** Returns the fraction of the slots that a tier can rely on; `Number.EPSILON` keeps it above 0, as `QueueState` requires. */
 const getRankFraction = (state: GroupState, rank: Rank, floor: number): number => {
 	let usedAbove = 0;
 	for (const [other, use] of state.rankUtilization) {
+		// A smaller rank has higher priority.
 		usedAbove += other < rank ? use : 0;
 	}
 
--- a/packages/scheduler/src/owner/queries/overview.ts
+++ b/packages/scheduler/src/owner/queries/overview.ts
@@ -4,7 +4,7 @@
 import type {GroupState, Standing} from '../state.js';
 import {getCapacityForecast} from './forecast.js';
 
-/** Numbers of waiting and running tickets of a rank. */
+/** Numbers of waiting and running tickets of a tier. */
 export type RankOverview = {rank: Rank; waiting: number; running: number};
 
 /** The owner's view of a group at one moment. */
--- a/packages/scheduler/src/owner/queries/precedence.ts
+++ b/packages/scheduler/src/owner/queries/precedence.ts
@@ -2,7 +2,7 @@
 	type FloorDemand, getFloorsDue, getLeads, type Precedence,
 } from '@gentianlift/policy';
 import type {CustomerId, Rank} from '@gentianlift/types';
-import {type Entry, getUsableSlots, type GroupState} from '../state.js';
+import {type TrackedTicket, getUsableSlots, type GroupState} from '../state.js';
 
 /** Returns the floor of each tier, the slots that it uses in a group, and whether it waits for more. */
 export const getFloorDemands = (state: GroupState): FloorDemand[] => {
@@ -26,7 +26,7 @@
 };
 
 /** Returns the precedence of a group's waiting entries: floors that are due, and each customer's lead in fair sharing. */
-export const getPrecedence = (state: GroupState, waiting: Iterable<Entry>): Precedence => {
+export const getPrecedence = (state: GroupState, waiting: Iterable<TrackedTicket>): Precedence => {
 	const {disabledMechanisms} = state.context;
 	const floorsDue = disabledMechanisms.has('floor') ? [] : getFloorsDue(state.floorDebts, getFloorDemands(state), getUsableSlots(state));
 	if (disabledMechanisms.has('fairness')) {
@@ -37,7 +37,7 @@
 	return {floorsDue, getLead: (rank, customer) => leads.get(rank)?.get(customer) ?? 0};
 };
 
-const getCustomers = (waiting: Iterable<Entry>): Map<Rank, Set<CustomerId>> => {
+const getCustomers = (waiting: Iterable<TrackedTicket>): Map<Rank, Set<CustomerId>> => {
 	const customers = new Map<Rank, Set<CustomerId>>();
 	for (const {ticket} of waiting) {
 		const known = customers.get(ticket.rank) ?? new Set();
--- a/packages/scheduler/src/owner/queries/select-next.ts
+++ b/packages/scheduler/src/owner/queries/select-next.ts
@@ -3,7 +3,7 @@
 } from '@gentianlift/policy';
 import type {Ticket} from '@gentianlift/types';
 import type {Assignment} from '../grant-queue.js';
-import type {Entry, GroupState} from '../state.js';
+import type {TrackedTicket, GroupState} from '../state.js';
 import {getCandidates, getLoadedCandidates, hasFreeSlot} from './candidates.js';
 import {getPrecedence} from './precedence.js';
 
@@ -11,8 +11,8 @@
 const degradedSampleSize = 2;
 
 /** Returns the entry to grant next and its upstream; undefined while no upstream has a free slot for any entry. */
-export const selectNext = (state: GroupState, entries: Iterable<Entry>): Assignment | undefined => {
-	const candidates = getCandidates(state).filter(candidate => candidate.available && candidate.load < candidate.slots);
+export const selectNext = (state: GroupState, entries: Iterable<TrackedTicket>): Assignment | undefined => {
+	const candidates = getCandidates(state).filter(candidate => candidate.acceptsRequests && candidate.load < candidate.slots);
 	if (candidates.length === 0) {
 		return undefined;
 	}
@@ -44,7 +44,7 @@
 const hasRunningDuplicate = (state: GroupState, {isolated, fingerprint}: Ticket): boolean => isolated
 	&& [...state.entries.values()].some(entry => entry.state.kind === 'running' && entry.ticket.fingerprint === fingerprint);
 
-const getChoiceOptions = (state: GroupState, entry: Entry): ChoiceOptions => {
+const getChoiceOptions = (state: GroupState, entry: TrackedTicket): ChoiceOptions => {
 	const {disabledMechanisms, getZone} = state.context;
 	const options: ChoiceOptions = {usePrefix: !disabledMechanisms.has('prefix'), useSpeed: !disabledMechanisms.has('straggler')};
 	const zone = getZone(entry.host);
@@ -52,7 +52,7 @@
 		options.zone = zone;
 	}
 
-	if (state.slotFraction < 1 && !disabledMechanisms.has('random-choice')) {
+	if (state.ownerSlotFraction < 1 && !disabledMechanisms.has('random-choice')) {
 		options.sampleSize = degradedSampleSize;
 	}
 
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -9,23 +9,39 @@
 } from '@gentianlift/types';
 import type {GrantQueue, GrantQueueOptions} from './grant-queue.js';
 
-/** Availabilities of an upstream as this host sees it; a `probing` upstream gets one request at a time. */
+/**
+ * Availabilities of an upstream as this host sees it:
+ * - `available`: it gets requests.
+ * - `probing`: its ejection has expired, and it gets one request at a time until it counts as available.
+ * - `ejected`: it has failed, and gets no requests.
+ * - `leaving`: it drains or shuts down, and gets no new requests.
+ */
 export const standings = ['available', 'probing', 'ejected', 'leaving'] as const;
 /** One of the availabilities above. */
 export type Standing = typeof standings[number];
 
-/** Mechanisms that can be switched off for ablation measurements. */
+/**
+ * Mechanisms that can be switched off, for measurements with one of them switched off:
+ * - `fairness`: fair sharing among the customers of a tier.
+ * - `floor`: the slots that each tier is guaranteed.
+ * - `prefix`: preference for upstreams that have cached a prefix of the prompt.
+ * - `straggler`: avoidance of upstreams that are much slower than the others of their group.
+ * - `admission`: shedding of requests that are expected to miss their deadline, or that have missed it.
+ * - `preemption`: preemption of runs by requests of higher tiers.
+ * - `random-choice`: choice among a random sample of the upstreams in degraded mode.
+ * - `grants`: grants by the group's owner; without them, each host is in degraded mode.
+ */
 export const mechanisms = ['fairness', 'floor', 'prefix', 'straggler', 'admission', 'preemption', 'random-choice', 'grants'] as const;
 /** One of `mechanisms`. */
 export type Mechanism = typeof mechanisms[number];
 
-/** Whether an entry waits for a slot or holds one. */
+/** Whether an entry waits for a slot or holds one. `isBeingPreempted` is set once the host has been asked to preempt the run. */
 export type EntryState
 	= | {kind: 'waiting'}
-		| {kind: 'running'; upstream: UpstreamId; startedAt: Milliseconds; expectedDuration: Milliseconds; yielding: boolean};
+		| {kind: 'running'; upstream: UpstreamId; startedAt: Milliseconds; expectedDuration: Milliseconds; isBeingPreempted: boolean};
 
 /** A ticket as the owner of its group tracks it. Times are on the owner's monotonic clock. */
-export type Entry = QueuedTicket & {
+export type TrackedTicket = QueuedTicket & {
 	/** Request id and attempt, joined; the id of the entry's task in the queue. */
 	key: string;
 	host: HostId;
@@ -46,8 +62,9 @@
 export type UpstreamState = {
 	upstream: GroupUpstream;
 	standing: Standing;
-	load?: {report: LoadReport; at: Milliseconds; receivedAt: Milliseconds};
-	running: Set<Entry>;
+	/** Latest load report. `measuredAt` is the time of the measurement, converted to the owner's monotonic clock. */
+	load?: {report: LoadReport; measuredAt: Milliseconds; receivedAt: Milliseconds};
+	running: Set<TrackedTicket>;
 	recentRuns: CompletedRun[];
 	/** Digests of the prompt prefixes that its cache is assumed to hold, least recently used first. */
 	cachedPrefixes: Set<string>;
@@ -84,14 +101,14 @@
 	group: Group;
 	readonly upstreams: Map<UpstreamId, UpstreamState>;
 	/** Waiting and running entries, by request. */
-	readonly entries: Map<RequestId, Entry>;
+	readonly entries: Map<RequestId, TrackedTicket>;
 	/** Highest attempt that has ended, by request, with its time; messages about it that arrive later have no effect. */
 	readonly endedAttempts: Map<RequestId, {attempt: number; at: Milliseconds}>;
-	/** Weighted service that customers have received, for fair sharing within a rank. */
+	/** Weighted service that customers have received, for fair sharing within a tier. */
 	readonly fairShares: FairShares;
-	/** Service owed to each rank by its floor. */
+	/** Service owed to each tier by its floor, by rank. */
 	floorDebts: FloorDebts;
-	/** Fraction of the slots that each rank uses, as an exponential moving average. */
+	/** Fraction of the slots that each tier uses, by rank, as an exponential moving average. */
 	rankUtilization: ReadonlyMap<Rank, number>;
 	/** Time up to which `floorDebts` and `rankUtilization` are accounted. */
 	accountedUntil: Milliseconds;
@@ -100,8 +117,8 @@
 	readonly estimates: Map<string, ClassEstimates>;
 	/** Time from which the grants of earlier owners are assumed to be known, since the hosts have reported them. */
 	reconciledAt: Milliseconds;
-	/** Fraction of each upstream's slots that this owner may use; below 1 in degraded mode, where each host grants slots on its own. */
-	slotFraction: number;
+	/** Fraction of each upstream's slots that this owner may use. It is below 1 in degraded mode: the group's owner can't be reached, so this host grants its own share of the slots. */
+	ownerSlotFraction: number;
 	/** Decisions that are not sent yet, by host. */
 	readonly outbox: Map<HostId, Decision[]>;
 	readonly latestSequences: Map<HostId, {incarnation: Incarnation; sequence: number}>;
@@ -113,7 +130,7 @@
 export const getEntryKey = (request: RequestId, attempt: number): string => `${request}/${attempt}`;
 
 /** Returns the waiting entries of a group. */
-export const getWaitingEntries = (state: GroupState): Entry[] => [...state.entries.values()].filter(entry => entry.state.kind === 'waiting');
+export const getWaitingEntries = (state: GroupState): TrackedTicket[] => [...state.entries.values()].filter(entry => entry.state.kind === 'waiting');
 
 /** Returns how many slots this owner may use on all upstreams of a group that accept requests; at least 1. */
 export const getUsableSlots = (state: GroupState): number => {
@@ -122,5 +139,5 @@
 		slots += standing === 'available' || standing === 'probing' ? upstream.slots : 0;
 	}
 
-	return Math.max(1, slots * state.slotFraction);
+	return Math.max(1, slots * state.ownerSlotFraction);
 };
--- a/packages/scheduler/src/owner/upstream-registry.ts
+++ b/packages/scheduler/src/owner/upstream-registry.ts
@@ -58,7 +58,7 @@
 const createLoadSample = (clock: Clock, report: LoadReport): UpstreamState['load'] => {
 	const receivedAt = clock.monotonic();
 	const lag = clock.now() - report.at;
-	return {report, receivedAt, at: receivedAt - (lag >= 0 && lag <= maxReportLag ? lag : 0)};
+	return {report, receivedAt, measuredAt: receivedAt - (lag >= 0 && lag <= maxReportLag ? lag : 0)};
 };
 
 const applyCacheEvent = (state: UpstreamState, event: CacheEvent): void => {
--- a/packages/types/src/ids.ts
+++ b/packages/types/src/ids.ts
@@ -1,7 +1,7 @@
 /** Name of a router host, from its settings; unique in the fleet. */
 export type HostId = string;
 
-/** Incarnation number of a host's process: the time of its start in milliseconds since the epoch, so that it increases with each restart. */
+/** Incarnation number of a host's process: the time of its start in milliseconds since the epoch. It normally increases with each restart, but the wall clock may step back. */
 export type Incarnation = number;
 
 /** Name of an availability zone. */
