--- a/packages/router/src/callers/caller-stream.ts
+++ b/packages/router/src/callers/caller-stream.ts
@@ -16,8 +16,8 @@
 	begin: (status: number, headers: OutgoingHttpHeaders) => void;
 	end: () => void;
 	hasBegun: () => boolean;
-	/** Aborted when the caller has disconnected, or has read nothing for the idle timeout. */
-	callerDisconnected: AbortSignal;
+	/** Aborted when the caller has disconnected, or has read nothing for the idle timeout, or when an operator forces the host to stop. */
+	callerDisconnectedSignal: AbortSignal;
 };
 
 /** Options of a response stream. */
@@ -69,7 +69,7 @@
 	});
 
 	return {
-		callerDisconnected: disconnection.signal,
+		callerDisconnectedSignal: disconnection.signal,
 		hasBegun: () => response.headersSent,
 		begin(status, headers) {
 			if (!response.headersSent && !disconnection.signal.aborted) {
--- a/packages/router/src/callers/commands/chat.ts
+++ b/packages/router/src/callers/commands/chat.ts
@@ -62,7 +62,7 @@
 		request,
 		body,
 		bytes,
-		stopSignal: request.idempotent ? stream.callerDisconnected : new AbortController().signal,
+		stopSignal: request.idempotent ? stream.callerDisconnectedSignal : new AbortController().signal,
 		writer: body.stream === true ? createStreamWriter(request, stream, latencyRecorder.recordOutput) : createBufferedWriter(latencyRecorder.recordOutput),
 	});
 	latencyRecorder.recordEnd(result.kind === 'finished');
--- a/packages/router/src/callers/commands/service.ts
+++ b/packages/router/src/callers/commands/service.ts
@@ -48,7 +48,7 @@
 		path,
 		headers: getServiceHeaders(exchange.request, request.id, body.length),
 		body,
-		callerDisconnected: stream.callerDisconnected,
+		callerDisconnectedSignal: stream.callerDisconnectedSignal,
 		receiver: {
 			begin(status, headers) {
 				latencyRecorder.recordOutput();
--- a/packages/router/src/callers/response-writers.test.ts
+++ b/packages/router/src/callers/response-writers.test.ts
@@ -8,7 +8,7 @@
 	waitUntilWritable: async () => false,
 	end: () => undefined,
 	hasBegun: () => true,
-	callerDisconnected: AbortSignal.abort(),
+	callerDisconnectedSignal: AbortSignal.abort(),
 };
 
 test('only the response to an idempotent request ends when its caller has disconnected', async () => {
--- a/packages/router/src/dispatch/failed-attempt.ts
+++ b/packages/router/src/dispatch/attempt-failure.ts
@@ -4,8 +4,9 @@
 	Address, AttemptOutcome, Milliseconds, RunState, UpstreamSighting,
 } from '@gentianlift/types';
 
-/** Attempt that ended without a complete answer, described for the account, the caller's error and the health record of the upstream. */
-export type FailedAttempt = {
+/** Failure of an attempt, which ended without a complete answer, described for the account, the caller's error and the health record of the upstream. */
+export type AttemptFailure = {
+	/** Tells a failure from the other ends of an attempt. Covers refusals and error statuses as well as lost connections. */
 	kind: 'lost';
 	error: ErrorKind;
 	outcome: AttemptOutcome;
@@ -58,8 +59,8 @@
 	return isRejection ? failure.text.slice(0, maxRejectionCharacters) : undefined;
 };
 
-/** Returns the description of an attempt whose call failed. */
-export const getFailedAttempt = (failure: CallFailure): FailedAttempt => {
+/** Describes the failure of an attempt whose call failed. */
+export const describeCallFailure = (failure: CallFailure): AttemptFailure => {
 	const rejection = getRejection(failure);
 	return {
 		kind: 'lost',
@@ -73,7 +74,7 @@
 };
 
 /** Distinguishes a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
-export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: FailedAttempt): Promise<FailedAttempt> => {
+export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: AttemptFailure): Promise<AttemptFailure> => {
 	if (failure.sighting !== 'reset') {
 		return failure;
 	}
--- a/packages/router/src/dispatch/call-attempt.ts
+++ b/packages/router/src/dispatch/call-attempt.ts
@@ -3,7 +3,7 @@
 import type {ServiceCall} from '@gentianlift/upstream';
 import type {ResponseWriter} from '../callers/caller-stream.js';
 import type {HostContext} from '../host-context.js';
-import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
+import {describeCallFailure, type AttemptFailure} from './attempt-failure.js';
 
 /** Receiver of a service's response: its head, then its body. */
 export type ResponseReceiver = ResponseWriter & {
@@ -14,8 +14,8 @@
 export type CallAttemptEnd
 	= | {kind: 'finished'; status: number; contentType: string | undefined; body: string | undefined}
 	/** The attempt failed after the response had begun. It isn't retried, because the caller has already received a part of the response. */
-		| {kind: 'cut'; failure: FailedAttempt}
-		| FailedAttempt;
+		| {kind: 'cut'; failure: AttemptFailure}
+		| AttemptFailure;
 
 /** Largest response body that is stored for replay to a repeated request, in bytes. */
 export const maxStoredBodyBytes = 4096;
@@ -42,7 +42,7 @@
 export const runCallAttempt = async (context: HostContext, call: ServiceCall, receiver: ResponseReceiver, readsToEnd: boolean): Promise<CallAttemptEnd> => {
 	const response = await context.upstreams.callService(call);
 	if (response.kind !== 'answered') {
-		return getFailedAttempt(response);
+		return describeCallFailure(response);
 	}
 
 	receiver.begin(response.status, response.headers);
@@ -56,7 +56,7 @@
 
 	const outcome = await response.outcome;
 	if (outcome.kind !== 'finished') {
-		return {kind: 'cut', failure: {...getFailedAttempt(outcome), ran: 'ran', error: 'answer-incomplete'}};
+		return {kind: 'cut', failure: {...describeCallFailure(outcome), ran: 'ran', error: 'answer-incomplete'}};
 	}
 
 	const contentType = response.headers['content-type'];
--- a/packages/router/src/dispatch/generation-attempt.ts
+++ b/packages/router/src/dispatch/generation-attempt.ts
@@ -2,7 +2,7 @@
 import type {Address, ClassifiedRequest, Milliseconds} from '@gentianlift/types';
 import type {ResponseWriter} from '../callers/caller-stream.js';
 import type {HostContext} from '../host-context.js';
-import {getFailedAttempt, type FailedAttempt} from './failed-attempt.js';
+import {describeCallFailure, type AttemptFailure} from './attempt-failure.js';
 
 /** Generation to run on one engine. */
 export type GenerationAttempt = {
@@ -13,7 +13,7 @@
 	body: Record<string, unknown>;
 	/** Output of earlier attempts to continue from. */
 	resume: Resume | undefined;
-	/** Aborted when the caller has disconnected, or when an operator forces the host to stop. */
+	/** Aborted when the caller has disconnected, or when an operator forces the host to stop; never for a non-idempotent request. */
 	stopSignal: AbortSignal;
 	/** Aborted when a request of a higher tier preempts this one. */
 	preemptionSignal: AbortSignal;
@@ -30,9 +30,10 @@
 	firstTokenAfter: Milliseconds | undefined;
 	result:
 		| {kind: 'finished'; finishReason: string | undefined; promptTokens: number | undefined}
+		/** A request of a higher tier has preempted this one. */
 		| {kind: 'yielded'}
 		| {kind: 'stopped'}
-		| FailedAttempt;
+		| AttemptFailure;
 };
 
 const getPromptTokens = (usage: unknown): number | undefined => {
@@ -43,14 +44,14 @@
 	return typeof usage.prompt_tokens === 'number' ? usage.prompt_tokens : undefined;
 };
 
-const getFailure = (outcome: Exclude<GenerationOutcome, {kind: 'finished'}>): FailedAttempt => {
+const getFailure = (outcome: Exclude<GenerationOutcome, {kind: 'finished'}>): AttemptFailure => {
 	if (outcome.kind === 'incomplete') {
 		return {
 			kind: 'lost', error: 'answer-incomplete', outcome: 'failed', sighting: 'reset', ran: 'ran',
 		};
 	}
 
-	return {...getFailedAttempt(outcome), ran: 'ran'};
+	return {...describeCallFailure(outcome), ran: 'ran'};
 };
 
 const getResult = (outcome: GenerationOutcome, {stopSignal, preemptionSignal}: GenerationAttempt): GenerationAttemptEnd['result'] => {
@@ -106,7 +107,7 @@
 	});
 	if (generation.kind !== 'started') {
 		combined.release();
-		const result = generation.kind === 'cancelled' ? getResult(generation, attempt) : getFailedAttempt(generation);
+		const result = generation.kind === 'cancelled' ? getResult(generation, attempt) : describeCallFailure(generation);
 		return {
 			text: '', tokens: 0, firstTokenAfter: undefined, result,
 		};
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -3,7 +3,7 @@
 	ClassifiedRequest, Milliseconds, RunState, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
 import type {HostContext} from '../host-context.js';
-import type {FailedAttempt} from './failed-attempt.js';
+import type {AttemptFailure} from './attempt-failure.js';
 
 /** Combines the run states of two attempts: the request ran if either did, and its state is unknown if either is unknown and neither ran. */
 export const combineRunStates = (one: RunState, other: RunState): RunState => {
@@ -39,19 +39,20 @@
 	/** Number of the attempt within the request, from 1. */
 	attempt: number;
 	kind: TicketEnd['kind'];
-	failure: FailedAttempt | undefined;
+	failure: AttemptFailure | undefined;
 	tokens: number;
 	firstTokenAfter: Milliseconds | undefined;
 	duration: Milliseconds;
 	ran: RunState;
 };
 
-const attemptOutcomes = {
+/** Outcome of an attempt in the account, unless a failure names another, by the kind of end that is reported to the owner. */
+const outcomesByEndKind = {
 	finished: 'finished', failed: 'failed', cancelled: 'cancelled', preempted: 'preempted', withdrawn: 'cancelled',
 } as const;
 
 /** Releases the slot of an attempt and records its outcome in the account of the request and the health record of the upstream. */
-export const recordAttemptEnd = (context: HostContext, record: AttemptRecord): void => {
+export const finishAttempt = (context: HostContext, record: AttemptRecord): void => {
 	const {request, upstream, failure, tokens} = record;
 	context.grants.reportEnd({
 		request: request.id,
@@ -63,7 +64,7 @@
 		...(record.firstTokenAfter !== undefined && {firstTokenAfter: Math.round(record.firstTokenAfter)}),
 	});
 	context.accounts.apply({
-		kind: 'attempt-ended', request: request.id, upstream, outcome: failure?.outcome ?? attemptOutcomes[record.kind], tokens, ran: record.ran,
+		kind: 'attempt-ended', request: request.id, upstream, outcome: failure?.outcome ?? outcomesByEndKind[record.kind], tokens, ran: record.ran,
 	});
 	const sighting = record.kind === 'finished' ? 'success' : failure?.sighting;
 	if (sighting !== undefined) {
--- a/packages/router/src/dispatch/run-call.ts
+++ b/packages/router/src/dispatch/run-call.ts
@@ -5,11 +5,11 @@
 import type {GrantOutcome} from '@gentianlift/scheduler';
 import type {ClassifiedRequest, RunState, UpstreamId} from '@gentianlift/types';
 import type {HostContext} from '../host-context.js';
-import {detectCrash, type FailedAttempt} from './failed-attempt.js';
+import {detectCrash, type AttemptFailure} from './attempt-failure.js';
 import {
 	runCallAttempt, type ResponseReceiver, type CallAttemptEnd,
 } from './call-attempt.js';
-import {acquireUpstream, combineRunStates, recordAttemptEnd} from './grants.js';
+import {acquireUpstream, combineRunStates, finishAttempt} from './grants.js';
 
 /** Call to a service, with everything that its attempts need. */
 export type CallRun = {
@@ -19,8 +19,8 @@
 	path: string;
 	headers: OutgoingHttpHeaders;
 	body: Uint8Array;
-	/** Aborted when the caller has disconnected. A non-idempotent call continues nevertheless once it has been sent. */
-	callerDisconnected: AbortSignal;
+	/** Aborted when the caller has disconnected, or when an operator forces the host to stop. A non-idempotent call continues nevertheless once it has been sent. */
+	callerDisconnectedSignal: AbortSignal;
 	receiver: ResponseReceiver;
 };
 
@@ -33,20 +33,22 @@
 /** Result of the attempts so far; `avoid` lists the upstreams that failed. */
 type Progress = {attempts: number; ran: RunState; avoid: UpstreamId[]};
 
-const createFailedResult = (failure: FailedAttempt, ran: RunState): CallResult => ({
+const createFailedResult = (failure: AttemptFailure, ran: RunState): CallResult => ({
 	kind: 'failed',
 	failure: createFailure(failure.error, {ran, ...(failure.retryAfter !== undefined && {retryAfter: failure.retryAfter})}),
 });
 
 /** Decides whether a failed attempt is retried, and if so waits for the backoff delay. */
-const prepareRetry = async (context: HostContext, run: CallRun, progress: Progress, failure: FailedAttempt): Promise<boolean> => {
+const prepareRetry = async (context: HostContext, run: CallRun, progress: Progress, failure: AttemptFailure): Promise<boolean> => {
 	const {request} = run;
 	const decision = decideRetry({
 		ran: failure.ran,
 		idempotent: request.idempotent,
 		attempts: progress.attempts,
 		slack: request.deadline - context.clock.now(),
+		// Only the backoff delay has to fit into the slack.
 		expectedDuration: 0,
+		// A call is retried only if no part of its response has reached the caller, so there is nothing to continue.
 		resumable: true,
 		withinBudget: failure.ran === 'not-run' || context.limits.acquireRetry(request),
 	}, context.random.next());
@@ -60,7 +62,7 @@
 	return true;
 };
 
-const getAttemptFailure = (end: CallAttemptEnd): FailedAttempt | undefined => {
+const getAttemptFailure = (end: CallAttemptEnd): AttemptFailure | undefined => {
 	switch (end.kind) {
 		case 'finished': {
 			return undefined;
@@ -77,7 +79,7 @@
 };
 
 const runAttempt = async (context: HostContext, run: CallRun, progress: Progress, {upstream}: Extract<GrantOutcome, {kind: 'granted'}>): Promise<CallAttemptEnd> => {
-	const {request, method, path, headers, body, callerDisconnected, receiver} = run;
+	const {request, method, path, headers, body, callerDisconnectedSignal, receiver} = run;
 	const startedAt = context.clock.monotonic();
 	context.accounts.apply({kind: 'attempt-started', request: request.id, upstream});
 	const address = context.getDirectory().byId.get(upstream)?.address ?? '';
@@ -87,11 +89,11 @@
 		path,
 		headers,
 		body: Buffer.from(body.buffer, body.byteOffset, body.byteLength),
-		...(request.idempotent && {signal: callerDisconnected}),
+		...(request.idempotent && {signal: callerDisconnectedSignal}),
 	}, receiver, !request.idempotent);
 	const end = attempt.kind === 'lost' ? await detectCrash(context.upstreams, address, attempt) : attempt;
 	const failure = getAttemptFailure(end);
-	recordAttemptEnd(context, {
+	finishAttempt(context, {
 		request,
 		upstream,
 		attempt: progress.attempts,
@@ -115,12 +117,12 @@
 		}
 
 		case 'cut': {
-			return run.callerDisconnected.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.failure, 'ran');
+			return run.callerDisconnectedSignal.aborted ? {kind: 'stopped', ran: 'ran'} : createFailedResult(end.failure, 'ran');
 		}
 
 		case 'lost': {
 			const ran = combineRunStates(progress.ran, end.ran);
-			if (run.request.idempotent && run.callerDisconnected.aborted) {
+			if (run.request.idempotent && run.callerDisconnectedSignal.aborted) {
 				return {kind: 'stopped', ran};
 			}
 
@@ -135,7 +137,7 @@
 	for (;;) {
 		progress = {...progress, attempts: progress.attempts + 1};
 		// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
-		const grant = await acquireUpstream(context, run.request, run.callerDisconnected, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
+		const grant = await acquireUpstream(context, run.request, run.callerDisconnectedSignal, {attempt: progress.attempts, avoid: progress.avoid, bytes: run.body.length});
 		switch (grant.kind) {
 			case 'withdrawn': {
 				return {kind: 'stopped', ran: progress.ran};
--- a/packages/router/src/dispatch/run-claimed.ts
+++ b/packages/router/src/dispatch/run-claimed.ts
@@ -75,7 +75,7 @@
 	return {kind: 'failed', failure: createFailure(kind, {detail: `Request: ${claim.request}.`})};
 };
 
-/** Runs a non-idempotent request under its claim: `run` is called at most once, and only after the claim has been stored. */
+/** Runs a non-idempotent request under its claim: `runRequest` is called at most once, and only after the claim has been stored. */
 export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, runRequest: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
 	const key = {customer: request.customer, key: request.idempotencyKey ?? ''};
 	const decision = await context.claims.join({
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -6,9 +6,9 @@
 } from '@gentianlift/types';
 import type {ResponseWriter} from '../callers/caller-stream.js';
 import type {HostContext} from '../host-context.js';
-import {detectCrash, type FailedAttempt} from './failed-attempt.js';
+import {detectCrash, type AttemptFailure} from './attempt-failure.js';
 import {runGenerationAttempt, type GenerationAttemptEnd} from './generation-attempt.js';
-import {acquireUpstream, combineRunStates, recordAttemptEnd} from './grants.js';
+import {acquireUpstream, combineRunStates, finishAttempt} from './grants.js';
 
 /** Generation, with everything that its attempts need. */
 export type GenerationRun = {
@@ -16,6 +16,7 @@
 	body: Record<string, unknown>;
 	/** Memory that the request occupies while it is queued, in bytes. */
 	bytes: number;
+	/** Aborted when the caller has disconnected, or when an operator forces the host to stop; never for a non-idempotent request. */
 	stopSignal: AbortSignal;
 	writer: ResponseWriter;
 };
@@ -61,7 +62,7 @@
 	ran: combineRunStates(progress.ran, ran),
 });
 
-const handleFailedAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, failedAttempt: FailedAttempt): Promise<Step> => {
+const handleFailedAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, failedAttempt: AttemptFailure): Promise<Step> => {
 	const {request} = run;
 	if (failedAttempt.rejection !== undefined) {
 		return {kind: 'done', result: {kind: 'failed', failure: createFailure(failedAttempt.error, {ran: progress.ran, detail: failedAttempt.rejection}), tokens: progress.tokens}};
@@ -76,7 +77,9 @@
 		idempotent: request.idempotent,
 		attempts: progress.countedAttempts,
 		slack: getSlack(run, progress, context.clock.now()),
+		// Only the backoff delay has to fit into the slack.
 		expectedDuration: 0,
+		// The next attempt continues from the output so far.
 		resumable: true,
 		// Resuming isn't charged to the retry budget: it adds no load, because it replaces a request that the caller would send again from the start.
 		withinBudget: progress.tokens > 0 || failedAttempt.ran === 'not-run' || context.limits.acquireRetry(request),
@@ -134,7 +137,7 @@
 	});
 	const end = attempt.result.kind === 'lost' ? {...attempt, result: await detectCrash(context.upstreams, address, attempt.result)} : attempt;
 	const ran = end.result.kind === 'lost' ? end.result.ran : 'ran';
-	recordAttemptEnd(context, {
+	finishAttempt(context, {
 		request,
 		upstream: grant.upstream,
 		attempt: progress.attempts,
