--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -62,10 +62,10 @@
 	ran: combineRunStates(progress.ran, ran),
 });
 
-const handleFailedAttempt = async (context: HostContext, run: GenerationRun, progress: Progress, failedAttempt: AttemptFailure): Promise<Step> => {
+const handleAttemptFailure = async (context: HostContext, run: GenerationRun, progress: Progress, attemptFailure: AttemptFailure): Promise<Step> => {
 	const {request} = run;
-	if (failedAttempt.rejection !== undefined) {
-		return {kind: 'done', result: {kind: 'failed', failure: createFailure(failedAttempt.error, {ran: progress.ran, detail: failedAttempt.rejection}), tokens: progress.tokens}};
+	if (attemptFailure.rejection !== undefined) {
+		return {kind: 'done', result: {kind: 'failed', failure: createFailure(attemptFailure.error, {ran: progress.ran, detail: attemptFailure.rejection}), tokens: progress.tokens}};
 	}
 
 	if (progress.crashes >= minGuiltyCrashes) {
@@ -73,7 +73,7 @@
 	}
 
 	const decision = decideRetry({
-		ran: failedAttempt.ran,
+		ran: attemptFailure.ran,
 		idempotent: request.idempotent,
 		attempts: progress.countedAttempts,
 		slack: getSlack(run, progress, context.clock.now()),
@@ -82,16 +82,16 @@
 		// The next attempt continues from the output so far.
 		resumable: true,
 		// Resuming isn't charged to the retry budget: it adds no load, because it replaces a request that the caller would send again from the start.
-		withinBudget: progress.tokens > 0 || failedAttempt.ran === 'not-run' || context.limits.acquireRetry(request),
+		withinBudget: progress.tokens > 0 || attemptFailure.ran === 'not-run' || context.limits.acquireRetry(request),
 	}, context.random.next());
 	if (decision.kind === 'stop') {
-		context.metrics.count('retries_denied_total', {reason: decision.reason, error: failedAttempt.error});
-		context.metrics.count('wasted_tokens_total', {cause: failedAttempt.error}, progress.tokens);
-		const failure = createFailure(failedAttempt.error, {ran: progress.ran, ...(failedAttempt.retryAfter !== undefined && {retryAfter: failedAttempt.retryAfter})});
+		context.metrics.count('retries_denied_total', {reason: decision.reason, error: attemptFailure.error});
+		context.metrics.count('wasted_tokens_total', {cause: attemptFailure.error}, progress.tokens);
+		const failure = createFailure(attemptFailure.error, {ran: progress.ran, ...(attemptFailure.retryAfter !== undefined && {retryAfter: attemptFailure.retryAfter})});
 		return {kind: 'done', result: {kind: 'failed', failure, tokens: progress.tokens}};
 	}
 
-	context.metrics.count('retries_total', {reason: decision.reason, error: failedAttempt.error});
+	context.metrics.count('retries_total', {reason: decision.reason, error: attemptFailure.error});
 	await context.clock.sleep(decision.delay);
 	return {kind: 'again', progress};
 };
@@ -115,7 +115,7 @@
 		}
 
 		case 'lost': {
-			return handleFailedAttempt(context, run, progress, result);
+			return handleAttemptFailure(context, run, progress, result);
 		}
 	}
 };
@@ -160,7 +160,7 @@
 		progress = {...progress, attempts: progress.attempts + 1, countedAttempts: progress.countedAttempts + 1};
 		// eslint-disable-next-line no-await-in-loop -- Attempts run one after another.
 		const grant = await acquireUpstream(context, run.request, run.stopSignal, {
-			attempt: progress.attempts, avoid: progress.avoid, yields: progress.preemptions, resumed: progress.tokens > 0, bytes: run.bytes,
+			attempt: progress.attempts, avoid: progress.avoid, preemptions: progress.preemptions, resumed: progress.tokens > 0, bytes: run.bytes,
 		});
 		switch (grant.kind) {
 			case 'withdrawn': {
--- a/packages/scheduler/src/client/tickets.ts
+++ b/packages/scheduler/src/client/tickets.ts
@@ -27,8 +27,8 @@
 		idempotent: request.idempotent,
 		fingerprint: request.fingerprint,
 	};
-	if (options.yields !== undefined && options.yields > 0) {
-		ticket.yields = options.yields;
+	if (options.preemptions !== undefined && options.preemptions > 0) {
+		ticket.yields = options.preemptions;
 	}
 
 	if (options.resumed === true) {
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -29,7 +29,7 @@
 	/** True if the request must not run on an upstream together with another suspected of crashing upstreams. */
 	isolated?: boolean;
 	/** Number of preemptions of the request so far, sent as `yields`; 0 if absent. */
-	yields?: number;
+	preemptions?: number;
 	/** True once part of the answer has reached the caller. */
 	resumed?: boolean;
 	/** Memory in bytes that the request takes up while it waits; 0 if absent. */
--- a/packages/scheduler/src/load.test.ts
+++ b/packages/scheduler/src/load.test.ts
@@ -68,7 +68,7 @@
 			...review, rate: 2, tokens: 900, firstTokenTarget: 60_000,
 		}, {...quote, rate: 1, firstTokenTarget: 600},
 	], duration);
-	expect(results.get('review')!.yielded).toBeGreaterThan(0);
+	expect(results.get('review')!.preempted).toBeGreaterThan(0);
 	expect(getAttainment(results, 'quote')).toBeGreaterThan(0.9);
 	expectNoPriorityInversion(fleet);
 });
--- a/packages/scheduler/src/testing/load.ts
+++ b/packages/scheduler/src/testing/load.ts
@@ -19,7 +19,7 @@
 };
 
 /** Numbers of requests of a stream by outcome, and the service time that they used. */
-export type StreamResult = {sent: number; met: number; late: number; shed: number; yielded: number; service: Milliseconds};
+export type StreamResult = {sent: number; met: number; late: number; shed: number; preempted: number; service: Milliseconds};
 
 /** Results by name of the stream. */
 export type LoadResult = Map<string, StreamResult>;
@@ -55,7 +55,7 @@
 };
 
 const createResult = (): StreamResult => ({
-	sent: 0, met: 0, late: 0, shed: 0, yielded: 0, service: 0,
+	sent: 0, met: 0, late: 0, shed: 0, preempted: 0, service: 0,
 });
 
 const send = async (run: LoadRun, stream: RequestStream, id: string): Promise<void> => {
@@ -67,16 +67,16 @@
 	});
 	run.results.get(stream.name)!.sent++;
 	await runAttempt({
-		run, stream, host, request, tokens: sampleOutputTokens(fleet, stream.tokens), done: 0, number: 1, yields: 0,
+		run, stream, host, request, tokens: sampleOutputTokens(fleet, stream.tokens), done: 0, number: 1, preemptions: 0,
 	});
 };
 
-type AttemptState = {run: LoadRun; stream: RequestStream; host: TestHost; request: ClassifiedRequest; tokens: number; done: number; number: number; yields: number};
+type AttemptState = {run: LoadRun; stream: RequestStream; host: TestHost; request: ClassifiedRequest; tokens: number; done: number; number: number; preemptions: number};
 
 const runAttempt = async (state: AttemptState): Promise<void> => {
-	const {run, stream, host, request, number, yields, done} = state;
+	const {run, stream, host, request, number, preemptions, done} = state;
 	const result = run.results.get(stream.name)!;
-	const grant = await host.client.requestGrant(request, {attempt: number, yields, resumed: done > 0});
+	const grant = await host.client.requestGrant(request, {attempt: number, preemptions, resumed: done > 0});
 	if (grant.kind !== 'granted') {
 		result.shed++;
 		return;
@@ -85,17 +85,17 @@
 	const outcome = await generate(state, grant.upstream, grant.preemptionSignal);
 	result.service += outcome.duration;
 	host.client.reportEnd({
-		request: request.id, attempt: number, kind: outcome.yielded ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefillTime, duration: outcome.duration,
+		request: request.id, attempt: number, kind: outcome.preempted ? 'preempted' : 'finished', tokens: outcome.tokens, firstTokenAfter: prefillTime, duration: outcome.duration,
 	});
-	if (outcome.yielded) {
-		result.yielded++;
+	if (outcome.preempted) {
+		result.preempted++;
 		await runAttempt({
-			...state, done: done + outcome.tokens, number: number + 1, yields: yields + 1,
+			...state, done: done + outcome.tokens, number: number + 1, preemptions: preemptions + 1,
 		});
 	}
 };
 
-const generate = async ({run, request, stream, tokens, done}: AttemptState, upstream: string, preemptionSignal: AbortSignal): Promise<{yielded: boolean; tokens: number; duration: Milliseconds}> => {
+const generate = async ({run, request, stream, tokens, done}: AttemptState, upstream: string, preemptionSignal: AbortSignal): Promise<{preempted: boolean; tokens: number; duration: Milliseconds}> => {
 	const {clock} = run.fleet;
 	const slowdown = run.slowdowns.get(upstream) ?? 1;
 	const started = clock.now();
@@ -113,7 +113,7 @@
 		generated += batch;
 	}
 
-	return {yielded: generated + done < tokens, tokens: generated, duration: clock.now() - started};
+	return {preempted: generated + done < tokens, tokens: generated, duration: clock.now() - started};
 };
 
 const sampleOutputTokens = (fleet: TestFleet, mean: number): number =>
