--- a/packages/discovery/src/fleet-view.test.ts
+++ b/packages/discovery/src/fleet-view.test.ts
@@ -89,7 +89,7 @@
 	expect(lines.join('')).toContain('event=entry-unreadable key=u1');
 });
 
-test('an entry that is removed while the service is reachable is removed at once', () => {
+test('an entry that is removed while the store is reachable is removed at once', () => {
 	const {view, removed} = createView();
 	view.applyChanges([{kind: 'written', entry: entry('u1', 'u:1:ready', 1)}], 1, 10_000);
 	view.applyChanges([{kind: 'removed', key: 'u1', revision: 2}], 2, 10_000);
--- a/packages/discovery/src/follow-fleet.test.ts
+++ b/packages/discovery/src/follow-fleet.test.ts
@@ -11,10 +11,10 @@
 
 const unavailable = {kind: 'unavailable', reason: 'test'} as const;
 
-/** Answer of a service that holds no entries. */
+/** Answer of a store that holds no entries. */
 const emptyService: SnapshotOutcome = {kind: 'found', snapshot: {entries: [], revision: 1}};
 
-/** Follows a fake service whose answers the test sets; a watch call without a prepared answer returns no changes after its limit. */
+/** Follows a fake store whose answers the test sets; a watch call without a prepared answer returns no changes after its limit. */
 const createFollower = (snapshot: SnapshotOutcome = emptyService) => {
 	const clock = createManualClock();
 	const view = createFleetView({decode: () => ({kind: 'other'}), logger: createSilentLogger()});
@@ -57,7 +57,7 @@
 	expect(view.getSnapshot().entries).toEqual([entry('a', 2)]);
 });
 
-test('calls to a service that refuses them back off, and a refresh makes none', async () => {
+test('calls to a store that refuses them back off, and a refresh makes none', async () => {
 	const {clock, state, follower} = createFollower(unavailable);
 	await clock.advance(5000);
 	expect(state.reads).toBeLessThan(10);
@@ -66,7 +66,7 @@
 	expect(state.reads).toBe(reads);
 });
 
-test('a host with a relay feed does not call the service', async () => {
+test('a host with a relay feed does not call the store', async () => {
 	const {clock, state} = createFollower();
 	await clock.advance(10);
 	state.hasRelayFeed = true;
@@ -79,7 +79,7 @@
 	expect(state.watches).toBeGreaterThan(watches);
 });
 
-test('a host that watches the service passes on the changes', async () => {
+test('a host that watches the store passes on the changes', async () => {
 	const {clock, state} = createFollower();
 	state.changes.push({kind: 'changed', changes: [{kind: 'written', entry: entry('a', 2)}], revision: 2});
 	await clock.advance(10);
@@ -94,7 +94,7 @@
 	expect(view.getRevision()).toBe(9);
 });
 
-test('a host whose calls the service refuses reads the view of another host', async () => {
+test('a host whose calls the store refuses reads the view of another host', async () => {
 	const {clock, view, state} = createFollower();
 	await clock.advance(10);
 	state.snapshot = unavailable;
@@ -115,7 +115,7 @@
 	expect(view.getRevision()).toBe(5);
 });
 
-test('a host that starts during an outage of the service reads the view of another host', async () => {
+test('a host that starts during an outage of the store reads the view of another host', async () => {
 	const {clock, view, state} = createFollower(unavailable);
 	state.peer = {entries: [entry('a', 5)], revision: 5};
 	await clock.advance(400);
