--- a/packages/discovery/src/join-fleet.ts
+++ b/packages/discovery/src/join-fleet.ts
@@ -50,7 +50,7 @@
 	/** Called with each prompt that another host has sent to an upstream. */
 	onPrefill: (prefill: Prefill) => void;
 	/** Called with each incarnation of an upstream that is no longer listed. */
-	onRemoved: (key: UpstreamKey) => void;
+	onRemoved: (upstreamKey: UpstreamKey) => void;
 };
 
 type GetOtherHosts = () => HostRecord[];
--- a/packages/scheduler/src/client/baseline-client.ts
+++ b/packages/scheduler/src/client/baseline-client.ts
@@ -8,7 +8,7 @@
 	GrantOptions, GrantOutcome, GrantClient, GrantClientOptions,
 } from './types.js';
 
-/** Milliseconds after which a refused request may be retried. */
+/** Milliseconds after which a shed request may be sent again. */
 const retryAfter = 1000;
 
 /** Grants every request at once, without queue, admission control or coordination with other hosts. */
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -94,6 +94,7 @@
 	const byRequest = new Map(held.map(item => [item.request, item]));
 	for (const entry of state.entries.values()) {
 		const isNoLongerHeld = byRequest.get(entry.ticket.request)?.attempt !== entry.ticket.attempt;
+		// The message is the host's newest, so no entry of the host has a larger incarnation.
 		const isOlderThanMessage = entry.incarnation < origin.incarnation || entry.askSequence < origin.sequence;
 		if (entry.host === origin.host && isNoLongerHeld && isOlderThanMessage) {
 			removeEntry(state, entry);
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -21,7 +21,7 @@
 export type Standing = typeof standings[number];
 
 /**
- * Mechanisms that can be switched off, for measurements with one of them switched off:
+ * Mechanisms that can be switched off, for measurements with one mechanism switched off:
  * - `fairness`: fair sharing among the customers of a tier.
  * - `floor`: the slots that each tier is guaranteed.
  * - `prefix`: preference for upstreams that have cached a prefix of the prompt.
--- a/packages/types/src/grant.ts
+++ b/packages/types/src/grant.ts
@@ -28,7 +28,7 @@
 	idempotent: boolean;
 	/** Digest that stays the same when a caller sends the request again under another id. */
 	fingerprint: string;
-	/** Number of times that the request has yielded its slot; 0 if absent. */
+	/** Number of times that the request has been preempted; 0 if absent. */
 	yields?: number;
 	/** Whether part of the response has reached the caller; such a request is no longer shed for missing its target. */
 	resumed?: boolean;
@@ -70,7 +70,7 @@
 	ticket?: Ticket;
 };
 
-/** The owner's decision on a ticket; `yield` tells a running request to give up its slot. */
+/** The owner's decision on a ticket; `yield` preempts a running request. */
 export type Decision
 	= | {kind: 'granted'; request: RequestId; attempt: number; upstream: UpstreamId; priority: number}
 		| {kind: 'waiting'; request: RequestId; attempt: number; expectedWait: Milliseconds}
--- a/packages/types/src/settings.ts
+++ b/packages/types/src/settings.ts
@@ -49,6 +49,6 @@
 	seed?: number;
 	/** How queued requests are ordered; `first-in-first-out` and `least-outstanding` are baselines for measurements. */
 	order: 'policy' | 'first-in-first-out' | 'least-outstanding';
-	/** Names of mechanisms that are disabled for ablation measurements. */
+	/** Names of mechanisms that are switched off, for measurements with one mechanism switched off. */
 	without: string[];
 };
