--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -117,7 +117,7 @@
 	readonly estimates: Map<string, ClassEstimates>;
 	/** Time from which the grants of earlier owners are assumed to be known, since the hosts have reported them. */
 	reconciledAt: Milliseconds;
-	/** Fraction of each upstream's slots that this owner may use. It is below 1 in degraded mode: the group's owner can't be reached, so this host grants its own share of the slots. */
+	/** Fraction of each upstream's slots that this owner may use: 1 at the group's owner, and in degraded mode, when that owner can't be reached, this host's share. */
 	ownerSlotFraction: number;
 	/** Decisions that are not sent yet, by host. */
 	readonly outbox: Map<HostId, Decision[]>;
