--- a/packages/bench/src/histories/checker.ts
+++ b/packages/bench/src/histories/checker.ts
@@ -1,18 +1,18 @@
 import type {Claim} from '@gentianlift/types';
 import type {History, HistoryEvent, ServiceWrite} from './history.js';
 
-/** How often a promise was put to the test, and each time it was broken. */
-export type PromiseCount = {name: string; checked: number; violations: string[]};
+/** Result of checking one guarantee: the number of checked items and a description of each violation. */
+export type GuaranteeResult = {name: string; checked: number; violations: string[]};
 
-type Ran = Extract<HistoryEvent, {kind: 'ran'}>;
-type Told = Extract<HistoryEvent, {kind: 'told'}>;
+type ExecutionEvent = Extract<HistoryEvent, {kind: 'ran'}>;
+type AnswerEvent = Extract<HistoryEvent, {kind: 'told'}>;
 type ClaimWrite = {at: number; identity: string; claim: Claim};
 
-const shownText = 60;
-const slotPattern = /^claims\/[tu]\//v;
+const maxShownCharacters = 60;
+const claimSlotKeyPattern = /^claims\/[tu]\//v;
 
-const getRuns = ({events}: History): Ran[] => events.filter(event => event.kind === 'ran');
-const getTold = ({events}: History): Told[] => events.filter(event => event.kind === 'told');
+const getExecutions = ({events}: History): ExecutionEvent[] => events.filter(event => event.kind === 'ran');
+const getAnswerEvents = ({events}: History): AnswerEvent[] => events.filter(event => event.kind === 'told');
 
 const groupBy = <Item>(items: readonly Item[], getKey: (item: Item) => string): Map<string, Item[]> => {
 	const groups = new Map<string, Item[]>();
@@ -24,8 +24,8 @@
 	return groups;
 };
 
-const getClaims = (writes: readonly ServiceWrite[]): ClaimWrite[] => writes.flatMap(({at, key, value}) => {
-	if (!slotPattern.test(key) || value === undefined) {
+const getClaimWrites = (writes: readonly ServiceWrite[]): ClaimWrite[] => writes.flatMap(({at, key, value}) => {
+	if (!claimSlotKeyPattern.test(key) || value === undefined) {
 		return [];
 	}
 
@@ -33,40 +33,40 @@
 	return Object.entries(claims).map(([identity, claim]) => ({at, identity, claim}));
 });
 
-const count = <Item>(name: string, items: readonly Item[], getViolation: (item: Item) => string | undefined): PromiseCount => ({
+const checkItems = <Item>(name: string, items: readonly Item[], getViolation: (item: Item) => string | undefined): GuaranteeResult => ({
 	name,
 	checked: items.length,
 	violations: items.map(item => getViolation(item)).filter(text => text !== undefined),
 });
 
-const checkOnce = (history: History): PromiseCount => {
-	const runs = groupBy(getRuns(history), ({booking}) => booking);
-	return count('a booking runs at most once', [...runs], ([booking, items]) =>
+const checkAtMostOnce = (history: History): GuaranteeResult => {
+	const executions = groupBy(getExecutions(history), ({booking}) => booking);
+	return checkItems('a booking runs at most once', [...executions], ([booking, items]) =>
 		items.length > 1 ? `${booking} ran as ${items.map(({request}) => request).join(' and ')}` : undefined);
 };
 
-const checkNotRun = (history: History): PromiseCount => {
-	const requests = new Set(getRuns(history).map(({request}) => request));
-	const told = getTold(history).filter(({answer}) => answer.ran === 'not-run');
-	return count('what was told not run did not run', told, ({request}) => requests.has(request) ? `${request} ran` : undefined);
+const checkNotRunAnswers = (history: History): GuaranteeResult => {
+	const requests = new Set(getExecutions(history).map(({request}) => request));
+	const answers = getAnswerEvents(history).filter(({answer}) => answer.ran === 'not-run');
+	return checkItems('what was told not run did not run', answers, ({request}) => requests.has(request) ? `${request} ran` : undefined);
 };
 
-const checkOwnAnswer = (history: History): PromiseCount => {
-	const bodies = groupBy(getRuns(history), ({booking}) => booking);
-	const told = getTold(history).filter(({answer}) => answer.body !== undefined);
-	return count('an answer is the whole answer of its own booking', told, ({request, booking, answer}) => {
-		const isOwn = bodies.get(booking)?.some(({body}) => body === answer.body) ?? false;
-		return isOwn ? undefined : `${request} of ${booking} got ${answer.body}`;
+const checkAnswerBodies = (history: History): GuaranteeResult => {
+	const bodies = groupBy(getExecutions(history), ({booking}) => booking);
+	const answers = getAnswerEvents(history).filter(({answer}) => answer.body !== undefined);
+	return checkItems('an answer is the whole answer of its own booking', answers, ({request, booking, answer}) => {
+		const hasMatchingBody = bodies.get(booking)?.some(({body}) => body === answer.body) ?? false;
+		return hasMatchingBody ? undefined : `${request} of ${booking} got ${answer.body}`;
 	});
 };
 
-const checkBody = (history: History): PromiseCount => {
-	const sent = new Map(history.events.filter(event => event.kind === 'sent').map(({request, digest}) => [request, digest]));
-	return count('a run has the body that its request sent', getRuns(history), ({request, digest}) =>
-		sent.get(request) === digest ? undefined : `${request} ran with ${digest}`);
+const checkRequestBodies = (history: History): GuaranteeResult => {
+	const sentDigests = new Map(history.events.filter(event => event.kind === 'sent').map(({request, digest}) => [request, digest]));
+	return checkItems('a run has the body that its request sent', getExecutions(history), ({request, digest}) =>
+		sentDigests.get(request) === digest ? undefined : `${request} ran with ${digest}`);
 };
 
-const isChange = (before: Claim, after: Claim): boolean => {
+const isOutcomeChange = (before: Claim, after: Claim): boolean => {
 	if (before.outcome.kind === 'claimed') {
 		return false;
 	}
@@ -78,60 +78,60 @@
 	return before.request !== after.request || JSON.stringify(before.outcome) !== JSON.stringify(after.outcome);
 };
 
-const checkOutcomes = (history: History): PromiseCount => {
-	const groups = groupBy(getClaims(history.writes), ({identity}) => identity);
-	return count('a stored outcome never changes', [...groups], ([identity, items]) => {
-		const changed = items.some(({claim}, index) => index > 0 && isChange(items[index - 1]!.claim, claim));
-		return changed ? `the outcome of ${identity} changed` : undefined;
+const checkStoredOutcomes = (history: History): GuaranteeResult => {
+	const groups = groupBy(getClaimWrites(history.writes), ({identity}) => identity);
+	return checkItems('a stored outcome never changes', [...groups], ([identity, items]) => {
+		const hasChanged = items.some(({claim}, index) => index > 0 && isOutcomeChange(items[index - 1]!.claim, claim));
+		return hasChanged ? `the outcome of ${identity} changed` : undefined;
 	});
 };
 
-const checkClaimFirst = (history: History): PromiseCount => {
+const checkClaimBeforeExecution = (history: History): GuaranteeResult => {
 	const firstClaim = new Map<string, number>();
-	for (const {at, claim} of getClaims(history.writes)) {
+	for (const {at, claim} of getClaimWrites(history.writes)) {
 		if (!firstClaim.has(claim.request)) {
 			firstClaim.set(claim.request, at);
 		}
 	}
 
-	return count('a claim is stored before its request runs', getRuns(history), ({request, at}) =>
+	return checkItems('a claim is stored before its request runs', getExecutions(history), ({request, at}) =>
 		(firstClaim.get(request) ?? Number.POSITIVE_INFINITY) <= at ? undefined : `${request} ran without a claim`);
 };
 
-const checkSettled = (history: History): PromiseCount => {
-	const last = new Map(getClaims(history.writes).map(({identity, claim}) => [identity, claim]));
-	const open = new Set([...last.values()].filter(({outcome}) => outcome.kind === 'claimed').map(({request}) => request));
-	return count('an end that its host saw is stored', history.settled, ({request}) =>
-		open.has(request) ? `${request} is still claimed` : undefined);
+const checkSettlements = (history: History): GuaranteeResult => {
+	const lastClaims = new Map(getClaimWrites(history.writes).map(({identity, claim}) => [identity, claim]));
+	const unsettledRequests = new Set([...lastClaims.values()].filter(({outcome}) => outcome.kind === 'claimed').map(({request}) => request));
+	return checkItems('an end that its host saw is stored', history.expectedSettlements, ({request}) =>
+		unsettledRequests.has(request) ? `${request} is still claimed` : undefined);
 };
 
-/** An answer that was cut short is a beginning of the right one: without a gap, a repeat, or anything of another's. */
-const checkStreams = (history: History): PromiseCount => {
+/** Checks that a whole streamed answer equals the expected one and that a truncated one is a prefix of it: no missing or repeated part, nothing from another request's answer. */
+const checkStreamedAnswers = (history: History): GuaranteeResult => {
 	const answers = history.events.filter(event => event.kind === 'answered');
-	return count('a streamed answer is its own, whole or marked as cut', answers, ({request, isWhole, text, expected}) => {
-		const isRight = isWhole ? text === expected : expected.startsWith(text);
-		return isRight ? undefined : `${request} got "${text.slice(0, shownText)}" of ${text.length} characters for ${expected.length}`;
+	return checkItems('a streamed answer is its own, whole or marked as cut', answers, ({request, isWhole, text, expected}) => {
+		const isCorrect = isWhole ? text === expected : expected.startsWith(text);
+		return isCorrect ? undefined : `${request} got "${text.slice(0, maxShownCharacters)}" of ${text.length} characters for ${expected.length}`;
 	});
 };
 
-/** Checks a history against the promises about bookings. */
-export const checkHistory = (history: History): PromiseCount[] => [
-	checkOnce(history),
-	checkNotRun(history),
-	checkOwnAnswer(history),
-	checkBody(history),
-	checkOutcomes(history),
-	checkClaimFirst(history),
-	checkSettled(history),
+/** Checks a history against the guarantees for bookings. */
+export const checkHistory = (history: History): GuaranteeResult[] => [
+	checkAtMostOnce(history),
+	checkNotRunAnswers(history),
+	checkAnswerBodies(history),
+	checkRequestBodies(history),
+	checkStoredOutcomes(history),
+	checkClaimBeforeExecution(history),
+	checkSettlements(history),
 ];
 
-/** Checks a history that has questions beside bookings. */
-export const checkMixedHistory = (history: History): PromiseCount[] => [...checkHistory(history), checkStreams(history)];
+/** Checks a history that contains streamed chat answers as well as bookings. */
+export const checkMixedHistory = (history: History): GuaranteeResult[] => [...checkHistory(history), checkStreamedAnswers(history)];
 
-/** Adds the counts of several histories. */
-export const addCounts = (all: PromiseCount[][]): PromiseCount[] => {
-	const totals = new Map<string, PromiseCount>();
-	for (const {name, checked, violations} of all.flat()) {
+/** Merges the results of several histories by guarantee. */
+export const mergeResults = (results: GuaranteeResult[][]): GuaranteeResult[] => {
+	const totals = new Map<string, GuaranteeResult>();
+	for (const {name, checked, violations} of results.flat()) {
 		const total = totals.get(name) ?? {name, checked: 0, violations: []};
 		totals.set(name, {name, checked: total.checked + checked, violations: [...total.violations, ...violations]});
 	}
--- a/packages/bench/src/histories/command.ts
+++ b/packages/bench/src/histories/command.ts
@@ -1,22 +1,22 @@
 import process from 'node:process';
 import {defineCommand} from 'citty';
 import {
-	addCounts, checkHistory, checkMixedHistory, type PromiseCount,
+	mergeResults, checkHistory, checkMixedHistory, type GuaranteeResult,
 } from './checker.js';
-import {runProcesses} from './processes.js';
+import {runOnProcesses} from './processes.js';
 import {runSchedule} from './schedule.js';
-import {seededFaults, type SeededFault} from './world.js';
+import {seededFaults, type SeededFault} from './simulation.js';
 
-const shownViolations = 3;
+const maxShownViolations = 3;
 
-const getLines = ({name, checked, violations}: PromiseCount): string[] => [
+const formatResult = ({name, checked, violations}: GuaranteeResult): string[] => [
 	`${name}: ${checked} checked, ${violations.length} violations`,
-	...violations.slice(0, shownViolations).map(text => `  ${text}`),
+	...violations.slice(0, maxShownViolations).map(text => `  ${text}`),
 ];
 
 const isSeededFault = (text: string): text is SeededFault => (seededFaults as readonly string[]).includes(text);
 
-/** Runs schedules of concurrent bookings in one process and checks their histories against the promises. */
+/** Runs concurrent bookings under faults, simulated in one process or on router processes, and checks their histories against the guarantees. */
 export const histories = defineCommand({
 	meta: {name: 'histories', description: 'Histories of concurrent bookings under seeded faults, checked against the promises'},
 	args: {
@@ -32,28 +32,28 @@
 		}
 
 		if (args.processes) {
-			const history = await runProcesses({rounds: Number(args.schedules), seed: Number(args.seed), hosts: Number(args.hosts)});
-			const promises = checkMixedHistory(history);
-			console.log(promises.flatMap(promise => getLines(promise)).join('\n'));
-			process.exitCode = promises.some(({violations}) => violations.length > 0) ? 1 : 0;
+			const history = await runOnProcesses({rounds: Number(args.schedules), seed: Number(args.seed), hosts: Number(args.hosts)});
+			const results = checkMixedHistory(history);
+			console.log(results.flatMap(result => formatResult(result)).join('\n'));
+			process.exitCode = results.some(({violations}) => violations.length > 0) ? 1 : 0;
 			return;
 		}
 
-		const counts: PromiseCount[][] = [];
+		const scheduleResults: GuaranteeResult[][] = [];
 		const failedSeeds: number[] = [];
 		for (let index = 0; index < Number(args.schedules); index++) {
 			const seed = Number(args.seed) + index;
 			// eslint-disable-next-line no-await-in-loop -- Schedules run one after another.
-			const promises = checkHistory(await runSchedule(seed, args.fault));
-			counts.push(promises);
-			if (promises.some(({violations}) => violations.length > 0)) {
+			const results = checkHistory(await runSchedule(seed, args.fault));
+			scheduleResults.push(results);
+			if (results.some(({violations}) => violations.length > 0)) {
 				failedSeeds.push(seed);
 			}
 		}
 
-		console.log(addCounts(counts).flatMap(promise => getLines(promise)).join('\n'));
+		console.log(mergeResults(scheduleResults).flatMap(result => formatResult(result)).join('\n'));
 		console.log(failedSeeds.length === 0 ? 'no seed failed' : `failed seeds: ${failedSeeds.join(', ')}`);
-		console.log(`${counts.length - failedSeeds.length} passed, ${failedSeeds.length} failed`);
+		console.log(`${scheduleResults.length - failedSeeds.length} passed, ${failedSeeds.length} failed`);
 		process.exitCode = failedSeeds.length === 0 ? 0 : 1;
 	},
 });
--- a/packages/bench/src/histories/host.ts
+++ b/packages/bench/src/histories/host.ts
@@ -8,50 +8,50 @@
 } from '@gentianlift/types';
 import type {Answer} from './history.js';
 import {
-	createLink, waitForLife, type Life, type Link, type LinkOutcome,
+	createLink, waitUntilRunning, type ProcessState, type Link, type LinkOutcome,
 } from './link.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
-/** A process of an entry host with the real claims code. */
+/** Simulated process of an entry host that runs the production claims code. */
 export type Host = {
 	id: HostId;
 	incarnation: Incarnation;
-	life: Life;
+	processState: ProcessState;
 	owner: ClaimOwner;
 	client: ClaimClient;
-	/** Takes a caller's booking and resolves with its answer, or never. */
+	/** Handles a caller's booking and resolves with its answer, or never if the process dies. */
 	book: (booking: {booking: string; digest: string}, onRequest: (request: RequestId) => void) => Promise<Answer>;
 };
 
-const callTimeout = 300;
-const peerTimeout = 1500;
-const upstreamTimeout = 800;
-const joinLimit = 1500;
+const keyValueTimeoutMs = 300;
+const peerTimeoutMs = 1500;
+const upstreamTimeoutMs = 800;
+const joinTimeoutMs = 1500;
 const customer = 'customer';
-const limits = {...claimLimits, claimTimeout: 1000, settleTimeout: 1000};
+const benchClaimLimits = {...claimLimits, claimTimeout: 1000, settleTimeout: 1000};
 
-const getUnavailable = (outcome: Exclude<LinkOutcome<unknown>, {kind: 'answered'}>): {kind: 'unavailable'; reason: string} =>
+const toUnavailable = (outcome: Exclude<LinkOutcome<unknown>, {kind: 'answered'}>): {kind: 'unavailable'; reason: string} =>
 	({kind: 'unavailable', reason: outcome.reason});
 
-const getWriteOutcome = (outcome: LinkOutcome<WriteOutcome>, expected: number, world: World): WriteOutcome => {
+const toWriteOutcome = (outcome: LinkOutcome<WriteOutcome>, expected: number, simulation: Simulation): WriteOutcome => {
 	switch (outcome.kind) {
 		case 'answered': {
 			return outcome.answer;
 		}
 
 		case 'unreachable': {
-			return getUnavailable(outcome);
+			return toUnavailable(outcome);
 		}
 
 		case 'unknown': {
-			return world.seededFault === 'unknown-as-applied' ? {kind: 'applied', revision: expected + 1} : outcome;
+			return simulation.seededFault === 'unknown-as-applied' ? {kind: 'applied', revision: expected + 1} : outcome;
 		}
 	}
 };
 
-const createKeyValueCalls = (world: World, link: Link): KeyValueService => {
-	const {keyValue, seededFault} = world;
-	const swap: KeyValueService['compareAndSwap'] = async write => {
+const createLinkedKeyValue = (simulation: Simulation, link: Link): KeyValueService => {
+	const {keyValue, seededFault} = simulation;
+	const compareAndSwap: KeyValueService['compareAndSwap'] = async write => {
 		const current = keyValue.peek(write.key)?.revision ?? 0;
 		return keyValue.compareAndSwap(seededFault === 'write-without-compare' ? {...write, expected: current} : write);
 	};
@@ -60,23 +60,23 @@
 		...keyValue,
 		async read(key): Promise<ReadOutcome> {
 			const outcome = await link(async () => keyValue.read(key));
-			return outcome.kind === 'answered' ? outcome.answer : getUnavailable(outcome);
+			return outcome.kind === 'answered' ? outcome.answer : toUnavailable(outcome);
 		},
 		async compareAndSwap(write) {
-			return getWriteOutcome(await link(async () => swap(write)), write.expected, world);
+			return toWriteOutcome(await link(async () => compareAndSwap(write)), write.expected, simulation);
 		},
 		async remove(key, expected) {
-			return getWriteOutcome(await link(async () => keyValue.remove(key, expected)), expected, world);
+			return toWriteOutcome(await link(async () => keyValue.remove(key, expected)), expected, simulation);
 		},
 	};
 };
 
-const createPeers = (world: World, link: Link, self: HostId): Pick<PeerCalls, 'claim' | 'settleClaim'> => {
+const createPeerCalls = (simulation: Simulation, link: Link, self: HostId): Pick<PeerCalls, 'claim' | 'settleClaim'> => {
 	const call = async <Reply>(to: HostId, run: (host: Host) => Promise<Reply>) => link(async () => {
-		const host = world.hosts.get(to)!;
-		await waitForLife(host.life, world.clock);
+		const host = simulation.hosts.get(to)!;
+		await waitUntilRunning(host.processState, simulation.clock);
 		const answer = await run(host);
-		await waitForLife(host.life, world.clock);
+		await waitUntilRunning(host.processState, simulation.clock);
 		return answer;
 	}, true);
 	return {
@@ -85,7 +85,7 @@
 	};
 };
 
-const getAnswer = (decision: Exclude<ClaimDecision, {kind: 'start'}>): Answer => {
+const toAnswer = (decision: Exclude<ClaimDecision, {kind: 'start'}>): Answer => {
 	switch (decision.kind) {
 		case 'done': {
 			const {outcome} = decision.claim;
@@ -107,13 +107,13 @@
 	}
 };
 
-type Run = {outcome: ClaimOutcome; answer: Answer};
+type UpstreamRun = {outcome: ClaimOutcome; answer: Answer};
 
-const runUpstream = async (world: World, link: Link, request: ClaimRequest, booking: string): Promise<Run> => {
+const runAtUpstream = async (simulation: Simulation, link: Link, request: ClaimRequest, booking: string): Promise<UpstreamRun> => {
 	const sent = {booking, digest: request.digest, request: request.request};
-	const outcome = await link(async () => world.upstream.run(sent));
+	const outcome = await link(async () => simulation.upstream.run(sent));
 	if (outcome.kind === 'unknown') {
-		return world.seededFault === 'cut-as-not-run'
+		return simulation.seededFault === 'cut-as-not-run'
 			? {outcome: {kind: 'not-run'}, answer: {ran: 'not-run'}}
 			: {outcome: {kind: 'unknown', reason: 'cut'}, answer: {ran: 'unknown', reason: 'cut'}};
 	}
@@ -126,54 +126,54 @@
 	return {outcome: {kind: 'finished', status: 200, body}, answer: {ran: 'ran', body}};
 };
 
-/** Starts a process of an entry host. */
-export const createHost = (world: World, id: HostId, incarnation: Incarnation, getOwner: (key: string) => HostId): Host => {
-	const {clock, random} = world;
-	const life: Life = {isAlive: true, pausedUntil: 0};
+/** Starts a simulated process of an entry host. */
+export const createHost = (simulation: Simulation, id: HostId, incarnation: Incarnation, getOwner: (key: string) => HostId): Host => {
+	const {clock, random} = simulation;
+	const processState: ProcessState = {isAlive: true, pausedUntil: 0};
 	const createHostLink = (timeout: number) => createLink({
-		clock, random, life, faults: () => world.faults, timeout,
+		clock, random, processState, faults: () => simulation.faults, timeout,
 	});
 	const shared = {
 		clock,
 		random: createRandom(random.below(2 ** 30)),
 		metrics: createMetrics(),
-		keyValue: createKeyValueCalls(world, createHostLink(callTimeout)),
-		isGone: (host: HostId, run: Incarnation) => world.gone.has(`${host}.${run}`),
-		limits,
+		keyValue: createLinkedKeyValue(simulation, createHostLink(keyValueTimeoutMs)),
+		isGone: (host: HostId, hostIncarnation: Incarnation) => simulation.goneIncarnations.has(`${host}.${hostIncarnation}`),
+		limits: benchClaimLimits,
 	};
 	const owner = createClaimOwner(shared);
 	const client = createClaimClient({
-		...shared, self: id, peers: createPeers(world, createHostLink(peerTimeout), id), getOwner, owner,
+		...shared, self: id, peers: createPeerCalls(simulation, createHostLink(peerTimeoutMs), id), getOwner, owner,
 	});
-	const upstreamLink = createHostLink(upstreamTimeout);
+	const upstreamLink = createHostLink(upstreamTimeoutMs);
 	let sequence = 0;
 
 	const createRequest = (booking: string, digest: string): ClaimRequest => {
 		const key = {customer, key: booking};
 		return {
-			key, digest, request: createBookingId(`${id}.${incarnation}.${++sequence}`, key, limits), host: id, incarnation,
+			key, digest, request: createBookingId(`${id}.${incarnation}.${++sequence}`, key, benchClaimLimits), host: id, incarnation,
 		};
 	};
 
 	return {
 		id,
 		incarnation,
-		life,
+		processState,
 		owner,
 		client,
 		async book({booking, digest}, onRequest) {
-			await waitForLife(life, clock);
+			await waitUntilRunning(processState, clock);
 			const request = createRequest(booking, digest);
 			onRequest(request.request);
-			const decision = await client.join(request, joinLimit);
-			await waitForLife(life, clock);
+			const decision = await client.join(request, joinTimeoutMs);
+			await waitUntilRunning(processState, clock);
 			if (decision.kind !== 'start') {
-				return getAnswer(decision);
+				return toAnswer(decision);
 			}
 
-			const {outcome, answer} = await runUpstream(world, upstreamLink, request, booking);
+			const {outcome, answer} = await runAtUpstream(simulation, upstreamLink, request, booking);
 			client.settle({key: request.key, request: request.request, outcome});
-			world.settled.push({booking, request: request.request});
+			simulation.settlements.push({booking, request: request.request});
 			return answer;
 		},
 	};
--- a/packages/bench/src/histories/link.ts
+++ b/packages/bench/src/histories/link.ts
@@ -1,50 +1,50 @@
 import type {Clock, Random} from '@gentianlift/clock';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** A host's place in time: whether its process lives, and until when it is paused. */
-export type Life = {isAlive: boolean; pausedUntil: Milliseconds};
+/** Simulated state of a host's process: whether it is alive, and until when it is paused on the monotonic clock. */
+export type ProcessState = {isAlive: boolean; pausedUntil: Milliseconds};
 
-/** What became of a call over a link. */
+/** Outcome of a call over a link. */
 export type LinkOutcome<Answer>
 	= | {kind: 'answered'; answer: Answer}
-		/** Nothing was carried out. */
+		/** The call was refused and not executed. */
 		| {kind: 'unreachable'; reason: string}
-		/** It was carried out, or will be, or not. */
+		/** No reply arrived in time; the call may have been executed, may still be executed, or may be lost. */
 		| {kind: 'unknown'; reason: string};
 
-/** How calls fare on a link, as chances from 0 to 1. */
-export type LinkFaults = {unreachable: number; lost: number; late: number; doubled: number};
+/** Probabilities, from 0 to 1, of the faults that a call on a link can meet. */
+export type LinkFaults = {unreachable: number; lost: number; late: number; duplicated: number};
 
-/** What a link needs. */
-export type LinkOptions = {clock: Clock; random: Random; life: Life; faults: () => LinkFaults; timeout: Milliseconds};
+/** Options of a link. */
+export type LinkOptions = {clock: Clock; random: Random; processState: ProcessState; faults: () => LinkFaults; timeout: Milliseconds};
 
-/** Makes calls that are lost, late or doubled by chance. A dead caller's calls stay under way, and their replies reach nobody. */
-export type Link = <Answer>(run: () => Promise<Answer>, canDouble?: boolean) => Promise<LinkOutcome<Answer>>;
+/** Makes a call that may be refused, lost, delayed or duplicated at random. A call in flight continues when its caller's process dies; its reply is then discarded. */
+export type Link = <Answer>(run: () => Promise<Answer>, canDuplicate?: boolean) => Promise<LinkOutcome<Answer>>;
 
-const quickDelay: Milliseconds = 8;
-const lateDelay: Milliseconds = 3000;
+const maxUsualDelay: Milliseconds = 8;
+const maxLateDelay: Milliseconds = 3000;
 
-/** Resolves when a host may go on: at once, after its pause, or never if it is dead. */
-export const waitForLife = async (life: Life, clock: Clock): Promise<void> => {
-	while (life.isAlive && life.pausedUntil > clock.monotonic()) {
-		// eslint-disable-next-line no-await-in-loop -- A pause may be made longer.
-		await clock.sleep(life.pausedUntil - clock.monotonic());
+/** Waits until a host's process is running: resolves at once, after its pause, or never if the process is dead. */
+export const waitUntilRunning = async (processState: ProcessState, clock: Clock): Promise<void> => {
+	while (processState.isAlive && processState.pausedUntil > clock.monotonic()) {
+		// eslint-disable-next-line no-await-in-loop -- The pause may be extended while it lasts.
+		await clock.sleep(processState.pausedUntil - clock.monotonic());
 	}
 
-	if (!life.isAlive) {
+	if (!processState.isAlive) {
 		await new Promise<never>(() => {
-			// A dead process never goes on.
+			// A dead process never continues.
 		});
 	}
 };
 
-/** Creates the link of a host to another process. */
+/** Creates a link from a host to another process. */
 export const createLink = ({
-	clock, random, life, faults, timeout,
+	clock, random, processState, faults, timeout,
 }: LinkOptions): Link => {
-	const getDelay = (): Milliseconds => random.next() < faults().late ? random.below(lateDelay) : random.below(quickDelay);
+	const getDelay = (): Milliseconds => random.next() < faults().late ? random.below(maxLateDelay) : random.below(maxUsualDelay);
 
-	const carry = async <Answer>(run: () => Promise<Answer>): Promise<Answer> => {
+	const deliver = async <Answer>(run: () => Promise<Answer>): Promise<Answer> => {
 		await clock.sleep(getDelay());
 		const answer = await run();
 		await clock.sleep(getDelay());
@@ -56,31 +56,31 @@
 			resolve({kind: 'unknown', reason: 'timeout'});
 		});
 		const isLost = random.next() < faults().lost;
-		const isLostBefore = isLost && random.next() < 0.5;
-		if (isLostBefore) {
+		const isRequestLost = isLost && random.next() < 0.5;
+		if (isRequestLost) {
 			return;
 		}
 
 		void (async () => {
-			const answer = await carry(run);
+			const answer = await deliver(run);
 			if (!isLost) {
 				resolve({kind: 'answered', answer});
 			}
 		})();
 	});
 
-	return async (run, canDouble = false) => {
-		await waitForLife(life, clock);
+	return async (run, canDuplicate = false) => {
+		await waitUntilRunning(processState, clock);
 		if (random.next() < faults().unreachable) {
 			return {kind: 'unreachable', reason: 'refused'};
 		}
 
-		if (canDouble && random.next() < faults().doubled) {
-			void carry(run);
+		if (canDuplicate && random.next() < faults().duplicated) {
+			void deliver(run);
 		}
 
 		const outcome = await exchange(run);
-		await waitForLife(life, clock);
+		await waitUntilRunning(processState, clock);
 		return outcome;
 	};
 };
--- a/packages/bench/src/histories/world.ts
+++ b/packages/bench/src/histories/simulation.ts
@@ -6,22 +6,22 @@
 import type {LinkFaults} from './link.js';
 import type {Upstream} from './upstream.js';
 
-/** A fault put into the system on purpose, to show that the checker finds it. */
+/** Defects injected into the system deliberately, to verify that the checker finds them. */
 export const seededFaults = ['none', 'write-without-compare', 'unknown-as-applied', 'cut-as-not-run'] as const;
 /** One of `seededFaults`. */
 export type SeededFault = typeof seededFaults[number];
 
-/** Everything that the processes of a schedule share. */
-export type World = {
+/** State shared by the simulated processes of a schedule. */
+export type Simulation = {
 	clock: ManualClock;
 	random: Random;
 	keyValue: MemoryKeyValue;
 	upstream: Upstream;
 	hosts: Map<HostId, Host>;
-	/** Runs of hosts that are seen as gone, as `host.incarnation`. */
-	gone: Set<string>;
+	/** Incarnations that the other hosts consider gone, each as `host.incarnation`. */
+	goneIncarnations: Set<string>;
 	faults: LinkFaults;
 	seededFault: SeededFault;
 	events: HistoryEvent[];
-	settled: Array<{booking: string; request: string}>;
+	settlements: Array<{booking: string; request: string}>;
 };
--- a/packages/bench/src/histories/upstream.ts
+++ b/packages/bench/src/histories/upstream.ts
@@ -2,24 +2,24 @@
 import type {RequestId} from '@gentianlift/types';
 import type {HistoryEvent} from './history.js';
 
-/** A booking as it reaches the application service. */
+/** Booking as received by the application service. */
 export type Booking = {booking: string; digest: string; request: RequestId};
 
-/** What the application service answers. */
+/** Answer of the application service. */
 export type UpstreamAnswer = {kind: 'finished'; body: string} | {kind: 'refused'};
 
-/** An application service that carries out whatever reaches it, and notes it. */
+/** Fake application service without deduplication: it executes every call that it doesn't refuse, and records each execution. */
 export type Upstream = {run: (booking: Booking) => Promise<UpstreamAnswer>};
 
-const refusalChance = 0.1;
-const longestRun = 400;
+const refusalProbability = 0.1;
+const maxRunTimeMs = 400;
 
-/** Creates an application service. */
+/** Creates a fake application service. */
 export const createUpstream = (clock: Clock, random: Random, events: HistoryEvent[]): Upstream => {
 	let runs = 0;
 	return {
 		async run(booking) {
-			if (random.next() < refusalChance) {
+			if (random.next() < refusalProbability) {
 				return {kind: 'refused'};
 			}
 
@@ -28,7 +28,7 @@
 			events.push({
 				kind: 'ran', at: clock.now(), ...booking, body,
 			});
-			await clock.sleep(random.below(longestRun));
+			await clock.sleep(random.below(maxRunTimeMs));
 			return {kind: 'finished', body};
 		},
 	};
