--- a/packages/bench/src/faults/command.ts
+++ b/packages/bench/src/faults/command.ts
@@ -6,18 +6,18 @@
 import {
 	faults as allFaults, getPairs, singleCases, type Fault,
 } from './faults.js';
-import {getFigures, type Figures} from './get-figures.js';
+import {getFaultImpact, type FaultImpact} from './fault-impact.js';
 
-const causedAt: Milliseconds = 8000;
+const injectedAt: Milliseconds = 8000;
 const header = '| fault | sent | lost | cut | wrong | doubled | false not-run | unknown | retried | recovered s | failed attempts |';
-const rule = '| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |';
+const separator = '| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |';
 
-const formatRow = (name: string, figures: Figures): string => {
+const formatRow = (name: string, impact: FaultImpact): string => {
 	const {
-		sent, lost, cut, wrong, doubled, falseNotRun, unknown, retried, recoveredAfter, errors,
-	} = figures;
+		sent, lost, cut, wrong, duplicated, falseNotRun, unknown, retried, recoveredAfter, errors,
+	} = impact;
 	const kinds = Object.entries(errors).map(([kind, count]) => `${kind} ${count}`).join(', ');
-	const cells = [name, sent, lost, cut, wrong, doubled, falseNotRun, unknown, retried, (recoveredAfter / 1000).toFixed(1), kinds];
+	const cells = [name, sent, lost, cut, wrong, duplicated, falseNotRun, unknown, retried, (recoveredAfter / 1000).toFixed(1), kinds];
 	return `| ${cells.join(' | ')} |`;
 };
 
@@ -26,26 +26,26 @@
 	return cases.filter(({name}) => name.includes(only));
 };
 
-const runCase = async ({cause, seconds}: Fault, rate: number, seed: number): Promise<Figures> => {
+const runCase = async ({inject, arrivalSeconds}: Fault, rate: number, seed: number): Promise<FaultImpact> => {
 	const deployment = await startDeployment({deployment: 'kopi'});
 	try {
 		const arrivals = getArrivals({
-			flows: getFlows(deployment.name), rate, seconds, seed,
+			flows: getFlows(deployment.name), rate, seconds: arrivalSeconds, seed,
 		});
 		const [records] = await Promise.all([
 			runLoad({
 				deployment, arrivals, seed, retries: 4,
 			}),
-			deployment.clock.sleep(causedAt).then(async () => cause(deployment)),
+			deployment.clock.sleep(injectedAt).then(async () => inject(deployment)),
 		]);
 		const calls = [...deployment.services.values()].flatMap(service => service.calls);
-		return getFigures(records, calls, causedAt);
+		return getFaultImpact(records, calls, injectedAt);
 	} finally {
 		await deployment.stop();
 	}
 };
 
-/** Causes faults under load on real processes, alone or in pairs, and counts what they cost. */
+/** Injects faults under load into real router processes, one at a time or in pairs, and prints their effect on requests. */
 export const faults = defineCommand({
 	meta: {name: 'faults', description: 'What each fault costs under load, on real processes'},
 	args: {
@@ -55,11 +55,11 @@
 		seed: {type: 'string', description: 'Seed of the load', default: '1'},
 	},
 	async run({args}) {
-		console.log(`${header}\n${rule}`);
-		for (const item of getCases(args.only, args.pairs)) {
+		console.log(`${header}\n${separator}`);
+		for (const fault of getCases(args.only, args.pairs)) {
 			// eslint-disable-next-line no-await-in-loop -- One deployment at a time.
-			const figures = await runCase(item, Number(args.rate), Number(args.seed));
-			console.log(formatRow(item.name, figures));
+			const impact = await runCase(fault, Number(args.rate), Number(args.seed));
+			console.log(formatRow(fault.name, impact));
 		}
 	},
 });
--- a/packages/bench/src/faults/faults.ts
+++ b/packages/bench/src/faults/faults.ts
@@ -2,26 +2,26 @@
 import type {Deployment, RunningRouter} from '@gentianlift/trial';
 import type {Milliseconds} from '@gentianlift/types';
 
-/** A fault that the measurement causes, and how it ends; `cause` resolves once it is over. */
+/** Fault to measure. `inject` causes the fault, and resolves after it has ended it; it resolves at once if the fake ends the fault by itself, or if the fault lasts until the end of the run. */
 export type Fault = {
 	name: string;
-	cause: (deployment: Deployment) => Promise<void>;
-	/** Time for which requests arrive. */
-	seconds: number;
+	inject: (deployment: Deployment) => Promise<void>;
+	/** Duration of the load, in seconds. */
+	arrivalSeconds: number;
 };
 
-const pauseTime: Milliseconds = 12_000;
-const restartTime: Milliseconds = 5000;
-const outageTime: Milliseconds = 10_000;
-const defaultSeconds = 25;
-const rollingSeconds = 75;
-/** Places of the hosts that faults befall; different ones, so that two faults at once befall two hosts. */
-const victims = {killed: 2, paused: 4, drained: 5};
+const pauseDuration: Milliseconds = 12_000;
+const restartDelay: Milliseconds = 5000;
+const outageDuration: Milliseconds = 10_000;
+const defaultArrivalSeconds = 25;
+const rollingRestartArrivalSeconds = 75;
+/** Indexes of the hosts that faults affect. They differ, so that two concurrent faults affect different hosts. */
+const faultyHostIndexes = {killed: 2, paused: 4, drained: 5};
 
-const getRouter = ({routers}: Deployment, place: number): RunningRouter => {
-	const router = routers[place];
+const getRouter = ({routers}: Deployment, index: number): RunningRouter => {
+	const router = routers[index];
 	if (router === undefined) {
-		throw new Error(`there is no host at place ${place}`);
+		throw new Error(`there is no host at index ${index}`);
 	}
 
 	return router;
@@ -32,93 +32,93 @@
 	await answer.body?.cancel();
 };
 
-/** The engine with the most generations under way, so that a fault there costs the most. */
-const getBusiest = ({engines}: Deployment): FakeEngine => {
+/** Returns the engine with the most running generations, where a fault affects the most requests. */
+const getBusiestEngine = ({engines}: Deployment): FakeEngine => {
 	const [busiest] = [...engines.values()].toSorted((first, second) => second.getState().running - first.getState().running);
 	if (busiest === undefined) {
-		throw new Error('there is no engine');
+		throw new Error('the deployment has no engine');
 	}
 
 	return busiest;
 };
 
-const replaceHost = async (deployment: Deployment, router: RunningRouter): Promise<void> => {
+const restartHost = async (deployment: Deployment, router: RunningRouter): Promise<void> => {
 	const outcome = await router.stop();
 	if (outcome !== 0) {
-		throw new Error(`${router.settings.host} ended with ${outcome}`);
+		throw new Error(`${router.settings.host} exited with ${outcome} instead of 0`);
 	}
 
 	await deployment.restartRouter(router.settings.host);
 };
 
-const replaceAll = async (deployment: Deployment): Promise<void> => {
+const restartAllHosts = async (deployment: Deployment): Promise<void> => {
 	for (const router of deployment.routers) {
 		// eslint-disable-next-line no-await-in-loop -- One host at a time.
-		await replaceHost(deployment, router);
+		await restartHost(deployment, router);
 	}
 };
 
-/** Faults that are caused alone and in pairs. */
+/** Faults that are injected alone and in pairs. */
 export const faults: Fault[] = [
 	{
-		name: 'host killed', seconds: defaultSeconds, async cause(deployment) {
-			const {signal, settings} = getRouter(deployment, victims.killed);
+		name: 'host killed', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
+			const {signal, settings} = getRouter(deployment, faultyHostIndexes.killed);
 			signal('SIGKILL');
-			await deployment.clock.sleep(restartTime);
+			await deployment.clock.sleep(restartDelay);
 			await deployment.restartRouter(settings.host);
 		},
 	},
 	{
-		name: 'host paused', seconds: defaultSeconds, async cause(deployment) {
-			const {signal} = getRouter(deployment, victims.paused);
+		name: 'host paused', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
+			const {signal} = getRouter(deployment, faultyHostIndexes.paused);
 			signal('SIGSTOP');
-			await deployment.clock.sleep(pauseTime);
+			await deployment.clock.sleep(pauseDuration);
 			signal('SIGCONT');
 		},
 	},
 	{
-		name: 'engine crash', seconds: defaultSeconds, async cause(deployment) {
-			await setFaults(getBusiest(deployment).listener.url, {crash: true, restartAfterMs: restartTime});
+		name: 'engine crash', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
+			await setFaults(getBusiestEngine(deployment).listener.url, {crash: true, restartAfterMs: restartDelay});
 		},
 	},
 	{
-		name: 'service outage', seconds: defaultSeconds, async cause({keyValue, clock}) {
+		name: 'service outage', arrivalSeconds: defaultArrivalSeconds, async inject({keyValue, clock}) {
 			await setFaults(keyValue.listener.url, {outage: true});
-			await clock.sleep(outageTime);
+			await clock.sleep(outageDuration);
 			await setFaults(keyValue.listener.url, {outage: false});
 		},
 	},
 	{
-		name: 'silent connections', seconds: defaultSeconds, async cause(deployment) {
-			await setFaults(getBusiest(deployment).listener.url, {silent: 'open'});
+		name: 'silent connections', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
+			await setFaults(getBusiestEngine(deployment).listener.url, {silent: 'open'});
 		},
 	},
 	{
-		name: 'drain', seconds: defaultSeconds, async cause(deployment) {
-			await replaceHost(deployment, getRouter(deployment, victims.drained));
+		name: 'drain', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
+			await restartHost(deployment, getRouter(deployment, faultyHostIndexes.drained));
 		},
 	},
 ];
 
-/** Cases that are measured alone only. */
+/** Cases that are measured alone only, not in pairs. */
 export const singleCases: Fault[] = [
 	{
-		name: 'none', seconds: defaultSeconds, async cause() {
-			// The load alone, to compare with.
+		name: 'none', arrivalSeconds: defaultArrivalSeconds, async inject() {
+			// Runs the load without a fault, as the baseline.
 		},
 	},
-	{name: 'all hosts replaced in turn', seconds: rollingSeconds, cause: replaceAll},
+	{name: 'all hosts replaced in turn', arrivalSeconds: rollingRestartArrivalSeconds, inject: restartAllHosts},
 ];
 
-/** Gets two faults that are caused at once. */
+/** Returns a case that injects two faults at the same time. */
 export const getPair = (first: Fault, second: Fault): Fault => ({
 	name: `${first.name} + ${second.name}`,
-	seconds: Math.max(first.seconds, second.seconds),
-	async cause(deployment) {
-		await Promise.all([first.cause(deployment), second.cause(deployment)]);
+	arrivalSeconds: Math.max(first.arrivalSeconds, second.arrivalSeconds),
+	async inject(deployment) {
+		await Promise.all([first.inject(deployment), second.inject(deployment)]);
 	},
 });
 
-/** Gets all pairs of different faults. */
+/** Returns all pairs of different faults. */
 export const getPairs = (): Fault[] =>
 	faults.flatMap((first, index) => faults.slice(index + 1).map(second => getPair(first, second)));
