--- a/packages/bench/src/claims/fleet.ts
+++ b/packages/bench/src/claims/fleet.ts
@@ -5,60 +5,62 @@
 import {createKeyValueClient, type KeyValueClient} from '@gentianlift/platform';
 import type {ClaimRequest, HostId} from '@gentianlift/types';
 
-/** A way of storing claims. */
+/** Ways of storing claims. */
 export const claimModes = ['slots', 'own-slots', 'key-per-claim'] as const;
-/** One of `claimModes`: shared slots with owners, shared slots that each host writes itself, or a key for each claim. */
+/** One of `claimModes`: shared slots with an owner each, shared slots that each host writes itself, or one key per claim. */
 export type ClaimMode = typeof claimModes[number];
 
-/** Hosts that book, in one process, over HTTP to a key-value service. */
+/** Simulated hosts in one process that store claims in a key-value service over HTTP. */
 export type Fleet = {
-	/** Claims a booking at some host; gets whether it may start. */
+	/** Claims a booking at its host; resolves with whether it may start. */
 	claim: (booking: Booking) => Promise<boolean>;
+	/** Stores the outcome of a booking in the background. */
 	settle: (booking: Booking) => void;
+	/** Waits for pending settlements; resolves with the number that were not stored. */
 	drain: () => Promise<number>;
-	/** Bytes of all values written. */
+	/** Returns the total size in bytes of the values written. */
 	getWrittenBytes: () => number;
 	close: () => void;
 };
 
-/** A booking of the measurement. */
+/** Booking of the benchmark; `host` is the index of the host that receives it. */
 export type Booking = {host: number; request: ClaimRequest};
 
-const callTimeout = 1000;
-const answerBody = JSON.stringify({
+const keyValueTimeoutMs = 1000;
+const upstreamAnswerBody = JSON.stringify({
 	order: 4711, status: 'booked', lengths: [6000, 4200, 1800], note: 'cut to length',
 });
-const uuidTimeLength = 12;
-const uuidTail = 14;
+const uuidTimestampDigits = 12;
+const uuidVersionIndex = 14;
 
-const createKey = (): string => {
-	const time = createSystemClock().now().toString(16).padStart(uuidTimeLength, '0');
-	return `${time.slice(0, 8)}-${time.slice(8)}-7${randomUUID().slice(uuidTail + 1)}`;
+const createIdempotencyKey = (): string => {
+	const timestamp = createSystemClock().now().toString(16).padStart(uuidTimestampDigits, '0');
+	return `${timestamp.slice(0, 8)}-${timestamp.slice(8)}-7${randomUUID().slice(uuidVersionIndex + 1)}`;
 };
 
-/** Creates a booking at one of the hosts under a key that carries the time. */
+/** Creates a booking at a random host. Its idempotency key is a UUIDv7, which carries its creation time. */
 export const createBooking = (sequence: number, hosts: number, random: Random): Booking => {
 	const host = random.below(hosts);
 	return {
 		host,
 		request: {
-			key: {customer: 'customer', key: createKey()}, digest: 'f'.repeat(64), request: `host-${host}.1.${sequence}`, host: `host-${host}`, incarnation: 1,
+			key: {customer: 'customer', key: createIdempotencyKey()}, digest: 'f'.repeat(64), request: `host-${host}.1.${sequence}`, host: `host-${host}`, incarnation: 1,
 		},
 	};
 };
 
-const outcome = {
-	kind: 'finished' as const, status: 200, contentType: 'application/json', body: answerBody,
+const finishedOutcome = {
+	kind: 'finished' as const, status: 200, contentType: 'application/json', body: upstreamAnswerBody,
 };
 
-/** Creates hosts that store each claim under a key of its own, to compare with. */
-const createKeyFleet = (keyValue: KeyValueClient): Fleet => {
+/** Creates hosts that store each claim under its own key, as a baseline. */
+const createKeyPerClaimFleet = (keyValue: KeyValueClient): Fleet => {
 	const revisions = new Map<string, number>();
 	const pending = new Set<Promise<unknown>>();
-	let bytes = 0;
+	let writtenBytes = 0;
 	const write = async (key: string, value: unknown, expected: number): Promise<number | undefined> => {
 		const text = JSON.stringify(value);
-		bytes += text.length;
+		writtenBytes += text.length;
 		const result = await keyValue.compareAndSwap({key, value: text, expected});
 		return result.kind === 'applied' ? result.revision : undefined;
 	};
@@ -73,18 +75,18 @@
 			return revision !== undefined;
 		},
 		settle({request}) {
-			pending.add(write(request.key.key, {...request, outcome}, revisions.get(request.key.key) ?? 0));
+			pending.add(write(request.key.key, {...request, outcome: finishedOutcome}, revisions.get(request.key.key) ?? 0));
 		},
 		async drain() {
 			await Promise.all(pending);
 			return 0;
 		},
-		getWrittenBytes: () => bytes,
+		getWrittenBytes: () => writtenBytes,
 		close: keyValue.close,
 	};
 };
 
-const getHash = (text: string): number => {
+const hashKey = (text: string): number => {
 	let hash = 0;
 	for (const character of text) {
 		hash = ((hash * 31) + character.codePointAt(0)!) % 1_000_003;
@@ -93,14 +95,14 @@
 	return hash;
 };
 
-const createSlotFleet = (url: string, hosts: number, isShared: boolean): Fleet => {
+const createSlotFleet = (url: string, hosts: number, hasSharedSlots: boolean): Fleet => {
 	const clock = createSystemClock();
 	const metrics = createMetrics();
-	const names = Array.from({length: hosts}, (_, index) => `host-${index}`);
+	const hostNames = Array.from({length: hosts}, (_, index) => `host-${index}`);
 	const owners = new Map<HostId, ClaimOwner>();
 	const keyValues: KeyValueClient[] = [];
-	const clients = names.map((self, index) => {
-		const keyValue = createKeyValueClient({url, clock, timeout: callTimeout});
+	const clients = hostNames.map((self, index) => {
+		const keyValue = createKeyValueClient({url, clock, timeout: keyValueTimeoutMs});
 		keyValues.push(keyValue);
 		const shared = {
 			clock, random: createRandom(index + 1), metrics, keyValue,
@@ -111,7 +113,7 @@
 			...shared,
 			self,
 			owner,
-			getOwner: key => isShared ? names[getHash(key) % hosts] : self,
+			getOwner: key => hasSharedSlots ? hostNames[hashKey(key) % hosts] : self,
 			peers: {
 				claim: async (to, message) => ({kind: 'answered', answer: await owners.get(to)!.claim(self, message)}),
 				settleClaim: async (to, message) => ({kind: 'answered', answer: await owners.get(to)!.settle(self, message)}),
@@ -124,11 +126,11 @@
 			return decision.kind === 'start';
 		},
 		settle({host, request}) {
-			clients[host]!.settle({key: request.key, request: request.request, outcome});
+			clients[host]!.settle({key: request.key, request: request.request, outcome: finishedOutcome});
 		},
 		async drain() {
-			const left = await Promise.all(clients.map(async client => client.drain()));
-			return left.reduce((sum, count) => sum + count, 0);
+			const unsettledCounts = await Promise.all(clients.map(async client => client.drain()));
+			return unsettledCounts.reduce((sum, count) => sum + count, 0);
 		},
 		getWrittenBytes: () => metrics.getValue('claim_write_bytes'),
 		close() {
@@ -139,7 +141,7 @@
 	};
 };
 
-/** Creates the hosts of a measurement. */
+/** Creates the hosts for a mode of storing claims. */
 export const createFleet = (mode: ClaimMode, hosts: number, url: string): Fleet => {
 	switch (mode) {
 		case 'slots': {
@@ -151,7 +153,7 @@
 		}
 
 		case 'key-per-claim': {
-			return createKeyFleet(createKeyValueClient({url, clock: createSystemClock(), timeout: callTimeout}));
+			return createKeyPerClaimFleet(createKeyValueClient({url, clock: createSystemClock(), timeout: keyValueTimeoutMs}));
 		}
 	}
 };
--- a/packages/bench/src/claims/run.ts
+++ b/packages/bench/src/claims/run.ts
@@ -6,15 +6,15 @@
 	createBooking, createFleet, type ClaimMode, type Fleet,
 } from './fleet.js';
 
-/** One measurement; a rate of 0 books as fast as it can. */
+/** Load of one measurement. `rate` is in bookings per second; 0 runs a closed loop of concurrent bookers that measures the maximum. */
 export type Load = {mode: ClaimMode; hosts: number; rate: number; seconds: number; seed: number};
 
-/** What a measurement gave. Calls are those that the service counted. */
-export type Result = Load & {
+/** Result of a measurement. Reads and writes are counted by the key-value service. */
+export type LoadResult = Load & {
 	started: number;
 	refused: number;
 	startedPerSecond: number;
-	/** Time of a claim, in microseconds. */
+	/** Latency of a claim, in microseconds. */
 	latency: Summary | undefined;
 	readsPerBooking: number;
 	writesPerBooking: number;
@@ -23,33 +23,33 @@
 	unsettled: number;
 };
 
-const service = {writesPerSecond: 400, readsPerSecond: 2000, callTime: 3};
-const runTime = 50;
-const bookersAtOnce = 400;
-const microseconds = 1000;
+const keyValueOptions = {writesPerSecond: 400, readsPerSecond: 2000, callTime: 3};
+const upstreamRunTimeMs = 50;
+const concurrentBookers = 400;
+const microsecondsPerMillisecond = 1000;
 
-type Count = {started: number; refused: number};
+type BookingCounts = {started: number; refused: number};
 
-const book = async (fleet: Fleet, booking: ReturnType<typeof createBooking>, count: Count, record: (time: number) => void): Promise<void> => {
+const runBooking = async (fleet: Fleet, booking: ReturnType<typeof createBooking>, counts: BookingCounts, record: (time: number) => void): Promise<void> => {
 	const startedAt = performance.now();
 	const isStarted = await fleet.claim(booking);
 	if (!isStarted) {
-		count.refused++;
+		counts.refused++;
 		return;
 	}
 
-	record((performance.now() - startedAt) * microseconds);
-	count.started++;
-	await sleep(runTime);
+	record((performance.now() - startedAt) * microsecondsPerMillisecond);
+	counts.started++;
+	await sleep(upstreamRunTimeMs);
 	fleet.settle(booking);
 };
 
-const runOpen = async (load: Load, send: (sequence: number) => Promise<void>): Promise<void> => {
+const runOpenLoop = async (load: Load, send: (sequence: number) => Promise<void>): Promise<void> => {
 	const random = createRandom(load.seed);
 	const end = performance.now() + (load.seconds * 1000);
 	const sent: Array<Promise<void>> = [];
 	for (let next = performance.now(); next < end; next -= Math.log(1 - random.next()) / load.rate * 1000) {
-		// eslint-disable-next-line no-await-in-loop -- Bookings come at random moments of one rate.
+		// eslint-disable-next-line no-await-in-loop -- Bookings arrive one after another as a Poisson process.
 		await sleep(Math.max(0, next - performance.now()));
 		sent.push(send(sent.length));
 	}
@@ -57,43 +57,43 @@
 	await Promise.all(sent);
 };
 
-const runClosed = async (load: Load, send: (sequence: number) => Promise<void>): Promise<void> => {
+const runClosedLoop = async (load: Load, send: (sequence: number) => Promise<void>): Promise<void> => {
 	const end = performance.now() + (load.seconds * 1000);
 	let sequence = 0;
-	const bookers = Array.from({length: bookersAtOnce}, async () => {
+	const bookers = Array.from({length: concurrentBookers}, async () => {
 		while (performance.now() < end) {
-			// eslint-disable-next-line no-await-in-loop -- Each booker books again once it has its answer.
+			// eslint-disable-next-line no-await-in-loop -- Each booker sends its next booking after it has the answer to the last.
 			await send(sequence++);
 		}
 	});
 	await Promise.all(bookers);
 };
 
-/** Runs a measurement against a key-value service of its own. */
-export const runLoad = async (load: Load): Promise<Result> => {
-	const keyValue = await createKeyValue(service);
+/** Runs a measurement against a new key-value service. */
+export const runLoad = async (load: Load): Promise<LoadResult> => {
+	const keyValue = await createKeyValue(keyValueOptions);
 	const fleet = createFleet(load.mode, load.hosts, `http://${keyValue.listener.address}`);
 	const random = createRandom(load.seed);
 	const metrics = createMetrics();
-	const count: Count = {started: 0, refused: 0};
-	const send = async (sequence: number): Promise<void> => book(fleet, createBooking(sequence, load.hosts, random), count, time => {
+	const counts: BookingCounts = {started: 0, refused: 0};
+	const send = async (sequence: number): Promise<void> => runBooking(fleet, createBooking(sequence, load.hosts, random), counts, time => {
 		metrics.record('claim', time);
 	});
 	const startedAt = performance.now();
-	await (load.rate === 0 ? runClosed(load, send) : runOpen(load, send));
+	await (load.rate === 0 ? runClosedLoop(load, send) : runOpenLoop(load, send));
 	const seconds = (performance.now() - startedAt) / 1000;
-	const startedPerSecond = count.started / seconds;
+	const startedPerSecond = counts.started / seconds;
 	const unsettled = await fleet.drain();
 	const {reads, writes} = keyValue.counts;
-	const all = Math.max(1, count.started);
-	const result: Result = {
+	const bookingCount = Math.max(1, counts.started);
+	const result: LoadResult = {
 		...load,
-		...count,
+		...counts,
 		startedPerSecond,
 		latency: metrics.getSummary('claim'),
-		readsPerBooking: reads / all,
-		writesPerBooking: writes / all,
-		bytesPerBooking: fleet.getWrittenBytes() / all,
+		readsPerBooking: reads / bookingCount,
+		writesPerBooking: writes / bookingCount,
+		bytesPerBooking: fleet.getWrittenBytes() / bookingCount,
 		writesPerSecond: writes / seconds,
 		unsettled,
 	};
