--- a/packages/bench/src/policy/command.ts
+++ b/packages/bench/src/policy/command.ts
@@ -1,25 +1,25 @@
 import process from 'node:process';
 import {defineCommand} from 'citty';
 import {deploymentNames, type DeploymentName} from '@gentianlift/trial';
-import {runOnce, type Run, type RunResult} from './run.js';
-import {getErrors, getMarkdown, getRunName} from './summary.js';
+import {runOnce, type RunOptions, type RunResult} from './run.js';
+import {formatErrors, formatTable, formatRunName} from './summary.js';
 
-/** What is run, by name of the set. */
-export const sets = ['orders', 'hosts', 'faults', 'ablations'] as const;
-/** One of `sets`. */
-export type SetName = typeof sets[number];
+/** Sets of runs that can be selected. */
+export const runSets = ['orders', 'hosts', 'faults', 'ablations'] as const;
+/** One of `runSets`. */
+export type RunSetName = typeof runSets[number];
 
 const orders = ['policy', 'first-in-first-out', 'least-outstanding'] as const;
-const mechanisms = ['fairness', 'floor', 'prefix', 'straggler', 'admission', 'preemption', 'grants'];
-const topClasses: Record<DeploymentName, string[]> = {kopi: ['quote', 'cut-order'], alfoldi: ['farmer-question', 'allocation-booking', 'shipment-status']};
+const ablatedMechanisms = ['fairness', 'floor', 'prefix', 'straggler', 'admission', 'preemption', 'grants'];
+const topTierClasses: Record<DeploymentName, string[]> = {kopi: ['quote', 'cut-order'], alfoldi: ['farmer-question', 'allocation-booking', 'shipment-status']};
 const ablationLoad = 1.5;
 
-/** Gets the runs of a set. */
-export const getRuns = (name: SetName, base: Run, loads: readonly number[]): Run[] => {
+/** Creates the runs of a set: `base` with the settings that the set varies. */
+export const createRuns = (name: RunSetName, base: RunOptions, loads: readonly number[]): RunOptions[] => {
 	switch (name) {
 		case 'orders': {
-			const alone = loads.map(load => ({...base, load, only: topClasses[base.deployment]}));
-			return loads.flatMap((load, index) => [...orders.map(order => ({...base, load, order})), ...alone.slice(index, index + 1)]);
+			const topClassRuns = loads.map(load => ({...base, load, only: topTierClasses[base.deployment]}));
+			return loads.flatMap((load, index) => [...orders.map(order => ({...base, load, order})), ...topClassRuns.slice(index, index + 1)]);
 		}
 
 		case 'hosts': {
@@ -33,7 +33,7 @@
 		}
 
 		case 'ablations': {
-			return [[], ...mechanisms.map(mechanism => [mechanism])].map(without => ({...base, load: ablationLoad, without}));
+			return [[], ...ablatedMechanisms.map(mechanism => [mechanism])].map(without => ({...base, load: ablationLoad, without}));
 		}
 	}
 };
@@ -42,20 +42,20 @@
 	process.stdout.write(`${line}\n`);
 };
 
-const runAll = async (runs: readonly Run[]): Promise<RunResult[]> => {
+const runAll = async (runs: readonly RunOptions[]): Promise<RunResult[]> => {
 	const results: RunResult[] = [];
 	for (const run of runs) {
-		print(getRunName({run}));
-		// eslint-disable-next-line no-await-in-loop -- Runs share one machine, so they come one after another.
+		print(formatRunName({run}));
+		// eslint-disable-next-line no-await-in-loop -- Runs share the processors, so they run one after another.
 		const result = await runOnce(run);
-		print(`${getMarkdown([result])}\n${getErrors(result.records)}`);
+		print(`${formatTable([result])}\n${formatErrors(result.records)}`);
 		results.push(result);
 	}
 
 	return results;
 };
 
-/** Measures the order of work against baselines, with the same seed and load. */
+/** Compares the scheduling policy with baselines under the same seed and load. */
 export const policy = defineCommand({
 	meta: {name: 'policy', description: 'Attainment, goodput and wasted work against baselines, by load'},
 	args: {
@@ -63,7 +63,7 @@
 			type: 'enum', options: [...deploymentNames], description: 'Deployment', default: 'kopi',
 		},
 		set: {
-			type: 'enum', options: [...sets], description: 'What to run', default: 'orders',
+			type: 'enum', options: [...runSets], description: 'What to run', default: 'orders',
 		},
 		loads: {type: 'string', description: 'Loads as multiples of capacity', default: '0.7,1,1.5,3'},
 		seconds: {type: 'string', description: 'Seconds in which requests arrive', default: '20'},
@@ -71,11 +71,11 @@
 		hosts: {type: 'string', description: 'Entry hosts', default: '7'},
 	},
 	async run({args}) {
-		const base: Run = {
+		const baseRun: RunOptions = {
 			deployment: args.deployment, load: 1, order: 'policy', hosts: Number(args.hosts), seconds: Number(args.seconds), seed: Number(args.seed), faults: 'none', without: [],
 		};
-		const results = await runAll(getRuns(args.set, base, args.loads.split(',').map(Number)));
-		print(`\n${getMarkdown(results)}`);
-		process.exitCode = results.every(({hasStopped}) => hasStopped) ? 0 : 1;
+		const results = await runAll(createRuns(args.set, baseRun, args.loads.split(',').map(Number)));
+		print(`\n${formatTable(results)}`);
+		process.exitCode = results.every(({hasStoppedCleanly}) => hasStoppedCleanly) ? 0 : 1;
 	},
 });
--- a/packages/bench/src/policy/run.ts
+++ b/packages/bench/src/policy/run.ts
@@ -4,13 +4,13 @@
 import type {
 	ClassName, Configuration, Milliseconds, Settings,
 } from '@gentianlift/types';
-import {getCounters, type Counters} from './counters.js';
+import {readCounters, type Counters} from './counters.js';
 
-/** Mechanism of the scheduler that a run goes without. */
+/** Name of a scheduler mechanism that a run can switch off. */
 export type Mechanism = string;
 
-/** What a run is. */
-export type Run = {
+/** Parameters of a run. */
+export type RunOptions = {
 	deployment: DeploymentName;
 	/** Offered load as a multiple of the engines' capacity. */
 	load: number;
@@ -18,35 +18,36 @@
 	hosts: number;
 	seconds: number;
 	seed: number;
-	/** Faults that happen in the run. */
+	/** Faults injected into the run. */
 	faults: 'none' | 'straggler-and-crash' | 'flood';
 	without: Mechanism[];
-	/** Only these classes send. */
+	/** Classes whose requests are sent; all if undefined. */
 	only?: ClassName[];
 };
 
-/** What a run came to. */
-export type RunResult = {run: Run; report: Report; records: CallRecord[]; counters: Counters; configuration: Configuration; hasStopped: boolean};
+/** Result of a run. `hasStoppedCleanly` tells whether every process exited with status 0. */
+export type RunResult = {run: RunOptions; report: Report; records: CallRecord[]; counters: Counters; configuration: Configuration; hasStoppedCleanly: boolean};
 
-const hour = 9;
-const time = '09:00';
+const simulatedHour = 9;
+const rulesTime = '09:00';
 const warmUp: Milliseconds = 3000;
-const liftedLimit = 1_000_000;
-/** Time of one output token with a full batch, in the stand-in engine's own figures: 20 ms and half a millisecond for each of eight. */
-const tokenTime: Milliseconds = 24;
-/** A burst lasts two fifths of the time. */
-const burstShare = 0.4;
-const lateReports: Milliseconds = 2000;
-const slowFactor = 4;
-const floodFactor = 6;
+const unlimited = 1_000_000;
+/** Time per output token with a full batch in the fake engine's default model: 20 ms, plus 0.5 ms for each of 8 running generations. */
+const fullBatchTokenTime: Milliseconds = 24;
+/** Fraction of the time during which flows burst. */
+const burstTimeFraction = 0.4;
+/** Lag of the engines' load reports, and downtime of a crashed engine. */
+const reportLag: Milliseconds = 2000;
+const stragglerSlowFactor = 4;
+const floodRateFactor = 6;
 const floodCustomers = {kopi: 'thriasio-coil', alfoldi: 'szolnok-coop'} as const;
 
-/** Gets the factor on the example's rates at which the chats need all slots of all engines. */
-export const getCapacityRate = (flows: readonly Flow[], configuration: Configuration): number => {
-	let needed = 0;
+/** Returns the factor on the flows' rates at which chat requests occupy all slots of all engines. */
+export const getCapacityRateFactor = (flows: readonly Flow[], configuration: Configuration): number => {
+	let neededSlots = 0;
 	for (const {perSecond, burst, work} of flows) {
-		const rate = perSecond * (1 + (burstShare * (burst - 1)));
-		needed += work.kind === 'chat' ? rate * work.meanTokens * tokenTime / 1000 : 0;
+		const rate = perSecond * (1 + (burstTimeFraction * (burst - 1)));
+		neededSlots += work.kind === 'chat' ? rate * work.meanTokens * fullBatchTokenTime / 1000 : 0;
 	}
 
 	let slots = 0;
@@ -54,42 +55,42 @@
 		slots += engine.slots;
 	}
 
-	return slots / needed;
+	return slots / neededSlots;
 };
 
-/** Lifts the customers' limits, which are not what is measured. */
-const liftLimits = (configuration: Configuration): Configuration => ({
+/** Replaces the customers' limits with ones too high to refuse anything, because the measurement is about scheduling only. */
+const removeCustomerLimits = (configuration: Configuration): Configuration => ({
 	...configuration,
 	inventory: {
 		...configuration.inventory,
 		customers: configuration.inventory.customers.map(customer => ({
-			...customer, limits: {requestsPerSecond: liftedLimit, tokensPerSecond: liftedLimit, concurrency: liftedLimit},
+			...customer, limits: {requestsPerSecond: unlimited, tokensPerSecond: unlimited, concurrency: unlimited},
 		})),
 	},
 });
 
-const getLoad = ({deployment, load, seconds, seed, only, faults}: Run, configuration: Configuration): Arrival[] => {
+const createArrivals = ({deployment, load, seconds, seed, only, faults}: RunOptions, configuration: Configuration): Arrival[] => {
 	const flows = getFlows(deployment);
-	const rate = load * getCapacityRate(flows, configuration);
-	const sent = flows.filter(({className}) => only === undefined || only.includes(className));
+	const rate = load * getCapacityRateFactor(flows, configuration);
+	const includedFlows = flows.filter(({className}) => only === undefined || only.includes(className));
 	const arrivals = getArrivals({
-		flows: sent, rate, seconds, seed,
+		flows: includedFlows, rate, seconds, seed,
 	});
 	if (faults !== 'flood') {
 		return arrivals;
 	}
 
-	const [first] = flows;
-	const flood = first === undefined
+	const [floodFlow] = flows;
+	const floodArrivals = floodFlow === undefined
 		? []
 		: getArrivals({
-			flows: [{...first, customers: [floodCustomers[deployment]]}], rate: rate * floodFactor, seconds, seed: seed + 1,
+			flows: [{...floodFlow, customers: [floodCustomers[deployment]]}], rate: rate * floodRateFactor, seconds, seed: seed + 1,
 		});
-	return [...arrivals, ...flood].toSorted((left, right) => left.at - right.at);
+	return [...arrivals, ...floodArrivals].toSorted((left, right) => left.at - right.at);
 };
 
-/** Makes one engine slow from a third of the run, and crashes another at half of it. */
-const startFaults = ({clock, engines}: Deployment, {faults, seconds}: Run): void => {
+/** Slows one engine down after a third of the run, and crashes and restarts another at half of it. */
+const scheduleFaults = ({clock, engines}: Deployment, {faults, seconds}: RunOptions): void => {
 	if (faults !== 'straggler-and-crash') {
 		return;
 	}
@@ -97,41 +98,41 @@
 	const [slow, crashing] = [...engines.values()];
 	clock.after(seconds * 1000 / 3, () => {
 		if (slow !== undefined) {
-			slow.faults.slowFactor = slowFactor;
+			slow.faults.slowFactor = stragglerSlowFactor;
 		}
 	});
 	clock.after(seconds * 1000 / 2, () => {
 		void crashing?.listener.crash();
-		clock.after(lateReports, () => {
+		clock.after(reportLag, () => {
 			void crashing?.listener.restart();
 		});
 	});
 };
 
-/** Starts a deployment, sends the run's load, and reads what became of it. */
-export const runOnce = async (run: Run): Promise<RunResult> => {
+/** Starts a deployment, sends the run's load, and collects the results. */
+export const runOnce = async (run: RunOptions): Promise<RunResult> => {
 	const deployment = await startDeployment({
 		deployment: run.deployment,
 		hosts: run.hosts,
-		hour,
+		hour: simulatedHour,
 		settings: {order: run.order, without: run.without},
-		change: liftLimits,
-		engine: run.faults === 'straggler-and-crash' ? {reportLag: lateReports} : {},
+		change: removeCustomerLimits,
+		engine: run.faults === 'straggler-and-crash' ? {reportLag} : {},
 	});
 	await deployment.clock.sleep(warmUp);
-	const arrivals = getLoad(run, deployment.configuration);
-	startFaults(deployment, run);
+	const arrivals = createArrivals(run, deployment.configuration);
+	scheduleFaults(deployment, run);
 	const records = await runLoad({
 		deployment, arrivals, seed: run.seed, retries: 0,
 	});
-	const counters = await getCounters(deployment.routers.map(({settings}) => settings.operatorAddress));
+	const counters = await readCounters(deployment.routers.map(({settings}) => settings.operatorAddress));
 	const report = getReport({
-		records, configuration: deployment.configuration, standins: deployment, time,
+		records, configuration: deployment.configuration, standins: deployment, time: rulesTime,
 	});
 	const {configuration} = deployment;
-	const ends = await deployment.stop();
-	const hasStopped = ends.every(({outcome}) => outcome === 0);
+	const exits = await deployment.stop();
+	const hasStoppedCleanly = exits.every(({outcome}) => outcome === 0);
 	return {
-		run, report, records, counters, configuration, hasStopped,
+		run, report, records, counters, configuration, hasStoppedCleanly,
 	};
 };
