--- a/packages/bench/src/membership/messages.ts
+++ b/packages/bench/src/membership/messages.ts
@@ -2,42 +2,43 @@
 	Address, HostId, HostState, Milliseconds, Settings, Zone,
 } from '@gentianlift/types';
 
-/** A node to run in a process of the measurement. */
+/** Settings of a node that a process runs. */
 export type NodeSettings = {host: HostId; zone: Zone; gossipAddress: Address};
 
-/** What the measurement asks of a process. */
-export type Order
+/** Command to a process that runs nodes. */
+export type ProcessCommand
 	= | {kind: 'start'; nodes: NodeSettings[]; seeds: Settings['seeds']; seed: number}
-		/** Starts a span in which costs are counted. */
+		/** Starts the time span over which costs are measured. */
 		| {kind: 'begin'}
-		/** Ends the span. */
+		/** Ends the time span and requests its costs. */
 		| {kind: 'end'}
-		/** Ends a node without a word. */
+		/** Stops a node without notifying the others, as a crash does. */
 		| {kind: 'kill'; host: HostId}
+		/** Requests the number of hosts seen as alive. */
 		| {kind: 'count'};
 
-/** Costs of all nodes of one process over a span. */
-export type Cost = {
+/** Total costs of all nodes of one process over a time span, where not said otherwise. */
+export type ProcessCost = {
 	nodes: number;
-	/** Processor time, in microseconds. */
+	/** Processor time in microseconds. */
 	processor: number;
-	/** Bytes with the headers of UDP and IP. */
+	/** Bytes sent and received, including UDP and IP headers. */
 	bytesSent: number;
 	bytesReceived: number;
-	/** Heap after a collection, in bytes, less that before the nodes started. */
+	/** Growth of the heap since before the nodes started, in bytes, after garbage collection. */
 	heap: number;
-	/** Bytes sent and received by the node with the most. */
+	/** Bytes sent and received by the node with the most traffic. */
 	mostBytes: number;
 };
 
-/** What a process answers or reports. */
-export type Report
+/** Reply to a command, or a report that a process sends unasked. */
+export type ProcessReport
 	= | {kind: 'ready'}
 		| {kind: 'started'}
 		| {kind: 'begun'}
-		| {kind: 'cost'; cost: Cost}
-		/** Hosts that the node with the fewest sees as alive. */
+		| {kind: 'cost'; cost: ProcessCost}
+		/** Smallest number of hosts that any node of the process sees as alive. */
 		| {kind: 'counted'; fewest: number}
 		| {kind: 'killed'}
-		/** A node sees another in a new state, at a moment of the machine's clock. */
+		/** Node `viewer` sees another host in a new state; `at` is a wall-clock time. */
 		| {kind: 'changed'; viewer: HostId; host: HostId; state: HostState; at: Milliseconds};
--- a/packages/bench/src/membership/node-process.ts
+++ b/packages/bench/src/membership/node-process.ts
@@ -1,37 +1,37 @@
 import {fork, type ChildProcess} from 'node:child_process';
 import {fileURLToPath} from 'node:url';
-import type {Order, Report} from './messages.js';
+import type {ProcessCommand, ProcessReport} from './messages.js';
 
-/** A process that runs nodes. */
+/** Child process that runs membership nodes. */
 export type NodeProcess = {
-	/** Sends an order and waits for the report of that kind. */
-	ask: <Kind extends Report['kind']>(order: Order, kind: Kind) => Promise<Extract<Report, {kind: Kind}>>;
-	onReport: (listener: (report: Report) => void) => void;
+	/** Sends a command and waits for the next report of a kind. */
+	request: <Kind extends ProcessReport['kind']>(command: ProcessCommand, kind: Kind) => Promise<Extract<ProcessReport, {kind: Kind}>>;
+	onReport: (listener: (report: ProcessReport) => void) => void;
 	stop: () => Promise<void>;
 };
 
-const entry = fileURLToPath(new URL('process.js', import.meta.url));
+const entryPath = fileURLToPath(new URL('process.js', import.meta.url));
 
-const waitFor = async <Kind extends Report['kind']>(child: ChildProcess, kind: Kind): Promise<Extract<Report, {kind: Kind}>> => new Promise(resolve => {
-	const receive = (report: Report): void => {
+const waitForReport = async <Kind extends ProcessReport['kind']>(child: ChildProcess, kind: Kind): Promise<Extract<ProcessReport, {kind: Kind}>> => new Promise(resolve => {
+	const receive = (report: ProcessReport): void => {
 		if (report.kind === kind) {
 			child.off('message', receive);
-			resolve(report as Extract<Report, {kind: Kind}>);
+			resolve(report as Extract<ProcessReport, {kind: Kind}>);
 		}
 	};
 
 	child.on('message', receive);
 });
 
-/** Starts a process for nodes. */
+/** Starts a child process that can run nodes. */
 export const startNodeProcess = async (): Promise<NodeProcess> => {
-	const child = fork(entry, {execArgv: ['--expose-gc']});
-	await waitFor(child, 'ready');
+	const child = fork(entryPath, {execArgv: ['--expose-gc']});
+	await waitForReport(child, 'ready');
 	return {
-		async ask(order, kind) {
-			const answer = waitFor(child, kind);
-			child.send(order);
-			return answer;
+		async request(command, kind) {
+			const reply = waitForReport(child, kind);
+			child.send(command);
+			return reply;
 		},
 		onReport(listener) {
 			child.on('message', listener);
--- a/packages/bench/src/membership/process.ts
+++ b/packages/bench/src/membership/process.ts
@@ -5,47 +5,47 @@
 } from '@gentianlift/membership';
 import {createMetrics, type Metrics} from '@gentianlift/metrics';
 import type {
-	Cost, NodeSettings, Order, Report,
+	ProcessCost, NodeSettings, ProcessCommand, ProcessReport,
 } from './messages.js';
 
 type Node = {settings: NodeSettings; membership: Membership; metrics: Metrics; transport: Transport};
-type Totals = Pick<Cost, 'bytesSent' | 'bytesReceived'>;
+type ByteTotals = Pick<ProcessCost, 'bytesSent' | 'bytesReceived'>;
 
 const clock = createSystemClock();
 const nodes = new Map<string, Node>();
-const begun = new Map<string, Totals>();
-let processorAt = process.cpuUsage();
-let heapBefore = 0;
+const totalsAtBegin = new Map<string, ByteTotals>();
+let cpuUsageAtBegin = process.cpuUsage();
+let heapBeforeStart = 0;
 
-const report = (message: Report): void => {
+const sendReport = (message: ProcessReport): void => {
 	process.send?.(message);
 };
 
-const readHeap = (): number => {
+const measureHeap = (): number => {
 	globalThis.gc?.();
 	return process.memoryUsage().heapUsed;
 };
 
-const getTotals = ({metrics}: Node): Totals => ({
+const getTotals = ({metrics}: Node): ByteTotals => ({
 	bytesSent: metrics.getValue('membership_bytes_sent'), bytesReceived: metrics.getValue('membership_bytes_received'),
 });
 
-const startNode = async (settings: NodeSettings, order: Extract<Order, {kind: 'start'}>, index: number): Promise<void> => {
+const startNode = async (settings: NodeSettings, command: Extract<ProcessCommand, {kind: 'start'}>, index: number): Promise<void> => {
 	const metrics = createMetrics();
 	const transport = createUdpTransport(settings.gossipAddress);
 	const membership = createMembership({
 		clock,
-		random: createRandom(order.seed + index),
+		random: createRandom(command.seed + index),
 		metrics,
 		self: {
 			...settings, incarnation: clock.now(), callerAddress: settings.gossipAddress, peerAddress: settings.gossipAddress,
 		},
-		seeds: order.seeds,
+		seeds: command.seeds,
 		keys: ['a-key-of-the-measurement'],
 		transport,
 	});
 	membership.onChange(({after}) => {
-		report({
+		sendReport({
 			kind: 'changed', viewer: settings.host, host: after.host, state: after.state, at: clock.now(),
 		});
 	});
@@ -55,67 +55,67 @@
 	});
 };
 
-const getCost = (): Cost => {
-	const {user, system} = process.cpuUsage(processorAt);
-	const spans = [...nodes.values()].map(node => {
-		const [now, before] = [getTotals(node), begun.get(node.settings.host)];
+const getCost = (): ProcessCost => {
+	const {user, system} = process.cpuUsage(cpuUsageAtBegin);
+	const byteCounts = [...nodes.values()].map(node => {
+		const [now, before] = [getTotals(node), totalsAtBegin.get(node.settings.host)];
 		return {sent: now.bytesSent - (before?.bytesSent ?? 0), received: now.bytesReceived - (before?.bytesReceived ?? 0)};
 	});
 	return {
 		nodes: nodes.size,
 		processor: user + system,
-		bytesSent: spans.reduce((sum, {sent}) => sum + sent, 0),
-		bytesReceived: spans.reduce((sum, {received}) => sum + received, 0),
-		heap: readHeap() - heapBefore,
-		mostBytes: Math.max(...spans.map(({sent, received}) => sent + received)),
+		bytesSent: byteCounts.reduce((sum, {sent}) => sum + sent, 0),
+		bytesReceived: byteCounts.reduce((sum, {received}) => sum + received, 0),
+		heap: measureHeap() - heapBeforeStart,
+		mostBytes: Math.max(...byteCounts.map(({sent, received}) => sent + received)),
 	};
 };
 
-const begin = (): void => {
+const beginMeasurement = (): void => {
 	for (const [host, node] of nodes) {
-		begun.set(host, getTotals(node));
+		totalsAtBegin.set(host, getTotals(node));
 	}
 
-	processorAt = process.cpuUsage();
+	cpuUsageAtBegin = process.cpuUsage();
 };
 
 const countAlive = ({membership}: Node): number => membership.getMembers().filter(({state}) => state === 'alive').length;
 
-const carryOut = async (order: Order): Promise<void> => {
-	switch (order.kind) {
+const executeCommand = async (command: ProcessCommand): Promise<void> => {
+	switch (command.kind) {
 		case 'start': {
-			heapBefore = readHeap();
-			await Promise.all(order.nodes.map(async (settings, index) => startNode(settings, order, index)));
-			report({kind: 'started'});
+			heapBeforeStart = measureHeap();
+			await Promise.all(command.nodes.map(async (settings, index) => startNode(settings, command, index)));
+			sendReport({kind: 'started'});
 			break;
 		}
 
 		case 'begin': {
-			begin();
-			report({kind: 'begun'});
+			beginMeasurement();
+			sendReport({kind: 'begun'});
 			break;
 		}
 
 		case 'end': {
-			report({kind: 'cost', cost: getCost()});
+			sendReport({kind: 'cost', cost: getCost()});
 			break;
 		}
 
 		case 'kill': {
-			nodes.get(order.host)?.transport.stop();
-			nodes.delete(order.host);
-			report({kind: 'killed'});
+			nodes.get(command.host)?.transport.stop();
+			nodes.delete(command.host);
+			sendReport({kind: 'killed'});
 			break;
 		}
 
 		case 'count': {
-			report({kind: 'counted', fewest: Math.min(...[...nodes.values()].map(node => countAlive(node)))});
+			sendReport({kind: 'counted', fewest: Math.min(...[...nodes.values()].map(node => countAlive(node)))});
 			break;
 		}
 	}
 };
 
-process.on('message', (order: Order) => {
-	void carryOut(order);
+process.on('message', (command: ProcessCommand) => {
+	void executeCommand(command);
 });
-report({kind: 'ready'});
+sendReport({kind: 'ready'});
--- a/packages/bench/src/membership/run-fleet.ts
+++ b/packages/bench/src/membership/run-fleet.ts
@@ -1,38 +1,41 @@
 import type {Clock} from '@gentianlift/clock';
 import type {HostId, Milliseconds, Settings} from '@gentianlift/types';
 import {findPorts} from '@gentianlift/trial';
-import type {Cost, NodeSettings, Report} from './messages.js';
+import type {ProcessCost, NodeSettings, ProcessReport} from './messages.js';
 import {startNodeProcess, type NodeProcess} from './node-process.js';
 
-/** Figures of one fleet, a node each where not said otherwise. */
-export type FleetFigures = {
+/** Measurement of one fleet, as averages per node where not said otherwise. */
+export type FleetMeasurement = {
 	nodes: number;
 	processes: number;
-	/** Time until each node saw all others; undefined if some never did. */
-	joined: Milliseconds | undefined;
-	/** Share of one core. */
-	processorShare: number;
+	/** Time until every node saw all others as alive; undefined on timeout. */
+	joinedAfter: Milliseconds | undefined;
+	/** Fraction of one processor core. */
+	coreRatio: number;
+	/** Bytes sent per second, including UDP and IP headers. */
 	sentPerSecond: number;
+	/** Bytes received per second, including UDP and IP headers. */
 	receivedPerSecond: number;
-	/** Sent and received by the node with the most. */
-	mostPerSecond: number;
+	/** Bytes sent and received per second by the node with the most traffic. */
+	maxPerSecond: number;
 	heapBytes: number;
-	/** Time from the end of one node until no other had it as alive, and until all had it as gone, and so in no answer. */
+	/** Time from the stop of one node until no other node saw it as alive. */
 	suspectedAfter: Milliseconds | undefined;
+	/** Time from the stop of one node until all others saw it as gone, and so left it out of every answer. */
 	goneAfter: Milliseconds | undefined;
 };
 
 const nodesPerProcess = 38;
 const zones = ['a', 'b', 'c'];
 const hostsPerNetwork = 250;
-const joinLimit: Milliseconds = 60_000;
+const joinTimeout: Milliseconds = 60_000;
 const pollInterval: Milliseconds = 250;
-const settleTime: Milliseconds = 30_000;
-const span: Milliseconds = 20_000;
-const killLimit: Milliseconds = 40_000;
+const stabilizationTime: Milliseconds = 30_000;
+const measurementDuration: Milliseconds = 20_000;
+const lossTimeout: Milliseconds = 40_000;
 const millisecondsPerSecond = 1000;
 
-const getNodes = (count: number, port: number): NodeSettings[] => Array.from({length: count}, (_, index) => ({
+const createNodeSettings = (count: number, port: number): NodeSettings[] => Array.from({length: count}, (_, index) => ({
 	host: `host-${index}`,
 	zone: zones[index % zones.length] ?? '',
 	gossipAddress: `127.1.${Math.floor(index / hostsPerNetwork)}.${(index % hostsPerNetwork) + 1}:${port}`,
@@ -40,9 +43,9 @@
 
 const waitUntilJoined = async (processes: NodeProcess[], count: number, clock: Clock): Promise<Milliseconds | undefined> => {
 	const start = clock.monotonic();
-	/* eslint-disable no-await-in-loop -- Each round looks at the state after a pause. */
-	while (clock.monotonic() - start < joinLimit) {
-		const counts = await Promise.all(processes.map(async process => process.ask({kind: 'count'}, 'counted')));
+	/* eslint-disable no-await-in-loop -- Each iteration polls the state after a pause. */
+	while (clock.monotonic() - start < joinTimeout) {
+		const counts = await Promise.all(processes.map(async process => process.request({kind: 'count'}, 'counted')));
 		if (Math.min(...counts.map(({fewest}) => fewest)) === count) {
 			return clock.monotonic() - start;
 		}
@@ -54,20 +57,20 @@
 	return undefined;
 };
 
-const measureCosts = async (processes: NodeProcess[], clock: Clock): Promise<Cost[]> => {
-	await Promise.all(processes.map(async process => process.ask({kind: 'begin'}, 'begun')));
-	await clock.sleep(span);
-	const reports = await Promise.all(processes.map(async process => process.ask({kind: 'end'}, 'cost')));
+const measureCosts = async (processes: NodeProcess[], clock: Clock): Promise<ProcessCost[]> => {
+	await Promise.all(processes.map(async process => process.request({kind: 'begin'}, 'begun')));
+	await clock.sleep(measurementDuration);
+	const reports = await Promise.all(processes.map(async process => process.request({kind: 'end'}, 'cost')));
 	return reports.map(({cost}) => cost);
 };
 
-type Loss = Pick<FleetFigures, 'suspectedAfter' | 'goneAfter'>;
+type LossDetection = Pick<FleetMeasurement, 'suspectedAfter' | 'goneAfter'>;
 
-const measureLoss = async (processes: NodeProcess[], lost: HostId, count: number, clock: Clock): Promise<Loss> => {
+const measureLossDetection = async (processes: NodeProcess[], lostHost: HostId, count: number, clock: Clock): Promise<LossDetection> => {
 	const suspected = new Map<HostId, Milliseconds>();
 	const gone = new Map<HostId, Milliseconds>();
-	const receive = (report: Report): void => {
-		if (report.kind !== 'changed' || report.host !== lost) {
+	const receive = (report: ProcessReport): void => {
+		if (report.kind !== 'changed' || report.host !== lostHost) {
 			return;
 		}
 
@@ -82,48 +85,48 @@
 	}
 
 	const start = clock.now();
-	await processes[0]?.ask({kind: 'kill', host: lost}, 'killed');
-	/* eslint-disable no-await-in-loop -- Each round looks at the state after a pause. */
-	while (gone.size < count - 1 && clock.now() - start < killLimit) {
+	await processes[0]?.request({kind: 'kill', host: lostHost}, 'killed');
+	/* eslint-disable no-await-in-loop -- Each iteration polls the state after a pause. */
+	while (gone.size < count - 1 && clock.now() - start < lossTimeout) {
 		await clock.sleep(pollInterval);
 	}
 	/* eslint-enable no-await-in-loop */
 
-	const getLast = (moments: Map<HostId, Milliseconds>): Milliseconds | undefined =>
-		moments.size < count - 1 ? undefined : Math.max(...moments.values()) - start;
-	return {suspectedAfter: getLast(suspected), goneAfter: getLast(gone)};
+	const getElapsedToLast = (times: Map<HostId, Milliseconds>): Milliseconds | undefined =>
+		times.size < count - 1 ? undefined : Math.max(...times.values()) - start;
+	return {suspectedAfter: getElapsedToLast(suspected), goneAfter: getElapsedToLast(gone)};
 };
 
-const getSum = (costs: Cost[], get: (cost: Cost) => number): number => costs.reduce((sum, cost) => sum + get(cost), 0);
+const sumCosts = (costs: ProcessCost[], getValue: (cost: ProcessCost) => number): number => costs.reduce((sum, cost) => sum + getValue(cost), 0);
 
-/** Runs a fleet of real nodes over UDP on loopback and measures it. */
-export const runFleet = async (count: number, clock: Clock): Promise<FleetFigures> => {
+/** Runs and measures a fleet of real membership nodes that communicate over UDP on loopback addresses. */
+export const runFleet = async (count: number, clock: Clock): Promise<FleetMeasurement> => {
 	const [port = 0] = await findPorts(1);
-	const nodes = getNodes(count, port);
+	const nodes = createNodeSettings(count, port);
 	const seeds: Settings['seeds'] = nodes.slice(0, 3).map(({host, gossipAddress}) => ({host, gossipAddress, peerAddress: gossipAddress}));
 	const processCount = Math.ceil(count / nodesPerProcess);
 	const processes = await Promise.all(Array.from({length: processCount}, startNodeProcess));
 	try {
 		await Promise.all(processes.map(async (process, index) => {
-			const own = nodes.filter((_, position) => position % processCount === index);
-			await process.ask({
-				kind: 'start', nodes: own, seeds, seed: index * count,
+			const assignedNodes = nodes.filter((_, position) => position % processCount === index);
+			await process.request({
+				kind: 'start', nodes: assignedNodes, seeds, seed: index * count,
 			}, 'started');
 		}));
-		const joined = await waitUntilJoined(processes, count, clock);
-		await clock.sleep(settleTime);
+		const joinedAfter = await waitUntilJoined(processes, count, clock);
+		await clock.sleep(stabilizationTime);
 		const costs = await measureCosts(processes, clock);
-		const seconds = span / millisecondsPerSecond;
-		const loss = await measureLoss(processes, 'host-0', count, clock);
+		const seconds = measurementDuration / millisecondsPerSecond;
+		const loss = await measureLossDetection(processes, 'host-0', count, clock);
 		return {
 			nodes: count,
 			processes: processCount,
-			joined,
-			processorShare: getSum(costs, ({processor}) => processor) / millisecondsPerSecond / span / count,
-			sentPerSecond: getSum(costs, ({bytesSent}) => bytesSent) / seconds / count,
-			receivedPerSecond: getSum(costs, ({bytesReceived}) => bytesReceived) / seconds / count,
-			mostPerSecond: Math.max(...costs.map(({mostBytes}) => mostBytes)) / seconds,
-			heapBytes: getSum(costs, ({heap}) => heap) / count,
+			joinedAfter,
+			coreRatio: sumCosts(costs, ({processor}) => processor) / millisecondsPerSecond / measurementDuration / count,
+			sentPerSecond: sumCosts(costs, ({bytesSent}) => bytesSent) / seconds / count,
+			receivedPerSecond: sumCosts(costs, ({bytesReceived}) => bytesReceived) / seconds / count,
+			maxPerSecond: Math.max(...costs.map(({mostBytes}) => mostBytes)) / seconds,
+			heapBytes: sumCosts(costs, ({heap}) => heap) / count,
 			...loss,
 		};
 	} finally {
--- a/packages/bench/src/membership/trpc-exchange.ts
+++ b/packages/bench/src/membership/trpc-exchange.ts
@@ -6,15 +6,15 @@
 import {applyWSSHandler} from '@trpc/server/adapters/ws';
 import {WebSocket, WebSocketServer} from 'ws';
 
-/** Bytes both ways over TCP, without the headers of TCP and IP. */
+/** Bytes in both directions over TCP, without TCP and IP headers. */
 export type ExchangeBytes = {
-	/** Opening a connection and the first exchange. */
+	/** Bytes of opening a connection and of the first exchange. */
 	first: number;
-	/** Each further exchange over the same connection. */
+	/** Average bytes of a further exchange over the same connection. */
 	further: number;
 };
 
-const exchanges = 100;
+const furtherExchanges = 100;
 
 const createPacket = (size: number): string => Buffer.alloc(size, 1).toString('base64');
 
@@ -25,9 +25,9 @@
 	});
 };
 
-const getTotal = (sockets: Iterable<Socket>): number => [...sockets].reduce((sum, {bytesRead, bytesWritten}) => sum + bytesRead + bytesWritten, 0);
+const sumSocketBytes = (sockets: Iterable<Socket>): number => [...sockets].reduce((sum, {bytesRead, bytesWritten}) => sum + bytesRead + bytesWritten, 0);
 
-/** Measures exchanges of two packets of `size` bytes as tRPC carries them over a WebSocket. */
+/** Measures the traffic of tRPC over a WebSocket for exchanges of two packets of `size` bytes each; tRPC carries them in base64. */
 export const measureTrpcExchange = async (size: number): Promise<ExchangeBytes> => {
 	const server = createServer();
 	const sockets = new Set<Socket>();
@@ -42,13 +42,13 @@
 	const connection = createWSClient({url: `ws://127.0.0.1:${port}`, WebSocket: WebSocket as unknown as typeof globalThis.WebSocket});
 	const client = createTRPCClient<ReturnType<typeof createRouter>>({links: [wsLink({client: connection})]});
 	await client.ping.mutate({packet: createPacket(size)});
-	const first = getTotal(sockets);
-	for (let done = 0; done < exchanges; done++) {
-		// eslint-disable-next-line no-await-in-loop -- One exchange after another, as probes are.
+	const first = sumSocketBytes(sockets);
+	for (let exchangeIndex = 0; exchangeIndex < furtherExchanges; exchangeIndex++) {
+		// eslint-disable-next-line no-await-in-loop -- Exchanges run one after another, as membership probes do.
 		await client.ping.mutate({packet: createPacket(size)});
 	}
 
-	const further = (getTotal(sockets) - first) / exchanges;
+	const further = (sumSocketBytes(sockets) - first) / furtherExchanges;
 	await connection.close();
 	server.closeAllConnections();
 	server.close();
