--- a/packages/bench/src/configuration/measure.ts
+++ b/packages/bench/src/configuration/measure.ts
@@ -5,30 +5,31 @@
 	Address, Configuration, ConfigurationVersion, Milliseconds,
 } from '@gentianlift/types';
 
-/** Times of one publication, each from the moment at which it was begun. */
-export type Publication = {
-	/** Until the publisher was told that the version is accepted. */
+/** Times of one publication, measured from its start. */
+export type PublicationTimes = {
+	/** Time until the publisher learned that the version is accepted. */
 	accepted: Milliseconds;
-	/** Until the version was in force at the first and at the last host. */
+	/** Time until the version was in force at the first host. */
 	first: Milliseconds;
+	/** Time until the version was in force at the last host. */
 	last: Milliseconds;
 };
 
 const pollInterval: Milliseconds = 10;
-const limit: Milliseconds = 30_000;
-const clientTimeout: Milliseconds = 2500;
+const inForceTimeout: Milliseconds = 30_000;
+const keyValueTimeout: Milliseconds = 2500;
 
-const readVersionAt = async (address: Address): Promise<number> => {
+const readVersionInForce = async (address: Address): Promise<number> => {
 	const answer = await fetch(`http://${address}/operator/status`);
 	const status = await answer.json() as {configurationVersion: number};
 	return status.configurationVersion;
 };
 
-const waitAtHost = async ({clock}: Deployment, address: Address, version: number): Promise<Milliseconds> => {
-	const end = clock.monotonic() + limit;
-	/* eslint-disable no-await-in-loop -- Each question waits for the answer to the last. */
-	while (await readVersionAt(address) < version) {
-		if (clock.monotonic() > end) {
+const waitUntilInForce = async ({clock}: Deployment, address: Address, version: number): Promise<Milliseconds> => {
+	const deadline = clock.monotonic() + inForceTimeout;
+	/* eslint-disable no-await-in-loop -- Each poll waits for the answer to the previous one. */
+	while (await readVersionInForce(address) < version) {
+		if (clock.monotonic() > deadline) {
 			return Infinity;
 		}
 
@@ -39,7 +40,7 @@
 	return clock.monotonic();
 };
 
-const changeSlots = (configuration: Configuration, slots: number): Configuration => ({
+const changeFirstEngineSlots = (configuration: Configuration, slots: number): Configuration => ({
 	...configuration,
 	inventory: {
 		...configuration.inventory,
@@ -47,10 +48,10 @@
 	},
 });
 
-const readCurrent = async (client: KeyValueClient): Promise<ConfigurationVersion> => {
+const requireCurrentVersion = async (client: KeyValueClient): Promise<ConfigurationVersion> => {
 	const reading = await readCurrentVersion(client);
 	if (reading.kind !== 'found') {
-		throw new Error(`the current version is ${reading.kind}`);
+		throw new Error(`cannot read the current configuration version: ${reading.kind}`);
 	}
 
 	return reading.stored.version;
@@ -58,27 +59,27 @@
 
 const publishChange = async ({clock}: Deployment, client: KeyValueClient, {version, configuration}: ConfigurationVersion, slots: number): Promise<ConfigurationVersion> => {
 	const outcome = await publishConfiguration({clock, keyValue: client}, {
-		document: changeSlots(configuration, slots), base: version, token: `bench-${version + 1}`, author: 'bench', note: '',
+		document: changeFirstEngineSlots(configuration, slots), base: version, token: `bench-${version + 1}`, author: 'bench', note: '',
 	});
 	if (outcome.kind !== 'applied') {
-		throw new Error(`the publication was ${outcome.kind}`);
+		throw new Error(`publication of the configuration was not applied: ${outcome.kind}`);
 	}
 
 	return outcome.version;
 };
 
-/** Publishes a change to the current version and waits until it is in force at every host. */
-export const measurePublication = async (deployment: Deployment, slots: number): Promise<Publication> => {
+/** Publishes a change to the current version, waits until it is in force at every host, and returns the times. */
+export const measurePublication = async (deployment: Deployment, slots: number): Promise<PublicationTimes> => {
 	const {clock, routers, keyValue} = deployment;
-	const client = createKeyValueClient({url: keyValue.listener.url, clock, timeout: clientTimeout});
+	const client = createKeyValueClient({url: keyValue.listener.url, clock, timeout: keyValueTimeout});
 	try {
-		const current = await readCurrent(client);
-		const begun = clock.monotonic();
-		const waits = routers.map(async ({settings}) => waitAtHost(deployment, settings.operatorAddress, current.version + 1));
+		const current = await requireCurrentVersion(client);
+		const startedAt = clock.monotonic();
+		const waits = routers.map(async ({settings}) => waitUntilInForce(deployment, settings.operatorAddress, current.version + 1));
 		const version = await publishChange(deployment, client, current, slots);
-		const accepted = clock.monotonic() - begun;
-		const [moments] = await Promise.all([Promise.all(waits), updateHistory(client, version)]);
-		return {accepted, first: Math.min(...moments) - begun, last: Math.max(...moments) - begun};
+		const accepted = clock.monotonic() - startedAt;
+		const [inForceTimes] = await Promise.all([Promise.all(waits), updateHistory(client, version)]);
+		return {accepted, first: Math.min(...inForceTimes) - startedAt, last: Math.max(...inForceTimes) - startedAt};
 	} finally {
 		client.close();
 	}
