--- a/packages/bench/src/addresses/hosts.ts
+++ b/packages/bench/src/addresses/hosts.ts
@@ -5,12 +5,12 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Address, Milliseconds} from '@gentianlift/types';
 
-/** A host that serves, passes on or redirects. */
+/** Fake host that serves, forwards or redirects requests. */
 export type Host = {address: Address; close: () => void};
 
-/** Time that a message takes between two availability zones and back. */
+/** Simulated round-trip time between two availability zones. */
 export const zoneRoundTrip: Milliseconds = 2;
-const events = 100;
+const eventCount = 100;
 const event = `data: ${JSON.stringify({id: 'chatcmpl-1', choices: [{index: 0, delta: {content: 'word '}}]})}\n\n`;
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => void;
@@ -29,13 +29,13 @@
 	};
 };
 
-/** Starts a host that serves a stream, an event each turn of the loop. */
+/** Starts a host that answers with a stream, writing one event per turn of the event loop. */
 export const startServingHost = async (): Promise<Host> => startServer((_request, response) => {
-	let left = events;
+	let remaining = eventCount;
 	const write = (): void => {
-		left--;
+		remaining--;
 		response.write(event);
-		if (left > 0) {
+		if (remaining > 0) {
 			setImmediate(write);
 		} else {
 			response.end();
@@ -45,11 +45,11 @@
 	write();
 });
 
-/** Starts a host in another zone than the right one, which passes requests on to that. */
-export const startPassingHost = async (target: Address, clock: Clock): Promise<Host> => {
+/** Starts a host that forwards requests to the target host in another availability zone. */
+export const startForwardingHost = async (target: Address, clock: Clock): Promise<Host> => {
 	const agent = new Agent({keepAlive: true});
 	const [host, port] = target.split(':');
-	const passOn = async (response: ServerResponse): Promise<void> => {
+	const forward = async (response: ServerResponse): Promise<void> => {
 		await clock.sleep(zoneRoundTrip);
 		createRequest({
 			host, port, agent, method: 'POST', path: '/',
@@ -59,11 +59,11 @@
 	};
 
 	return startServer((_request, response) => {
-		void passOn(response);
+		void forward(response);
 	});
 };
 
-/** Starts a host that names the right one. */
+/** Starts a host that redirects requests to the target host. */
 export const startRedirectingHost = async (target: Address): Promise<Host> => startServer((_request, response) => {
 	response.writeHead(307, {location: `http://${target}/`}).end();
 });
