--- a/packages/bench/src/overhead/child.ts
+++ b/packages/bench/src/overhead/child.ts
@@ -5,13 +5,13 @@
 import {createInterface} from 'node:readline';
 import {fileURLToPath} from 'node:url';
 
-/** A process of the bench that told its first line. */
-export type Child = {pid: number; firstLine: string; stop: () => Promise<void>};
+/** Child process that has printed its first line. */
+export type RunningScript = {pid: number; firstLine: string; stop: () => Promise<void>};
 
 const bytesPerKilobyte = 1024;
 
-/** Starts a script of the workspace and waits for its first line. */
-export const startChild = async (script: string, args: string[]): Promise<Child> => {
+/** Starts a script, given by its path below the folder of the packages, and waits for its first line of output. */
+export const startScript = async (script: string, args: string[]): Promise<RunningScript> => {
 	const file = fileURLToPath(new URL(`../../../${script}`, import.meta.url));
 	const child = spawn(process.execPath, [file, ...args], {stdio: ['ignore', 'pipe', 'inherit']});
 	const lines = createInterface({input: child.stdout});
@@ -27,8 +27,8 @@
 	};
 };
 
-/** Reads the resident memory of a process in bytes. */
-export const readMemory = async (pid: number): Promise<number> => {
+/** Reads the resident set size of a process in bytes. */
+export const readResidentBytes = async (pid: number): Promise<number> => {
 	const status = await readFile(`/proc/${pid}/status`, 'utf8');
 	const kilobytes = /^VmRSS:\s+(?<count>\d+)/mv.exec(status)?.groups?.count ?? '0';
 	return Number(kilobytes) * bytesPerKilobyte;
--- a/packages/bench/src/overhead/configuration.ts
+++ b/packages/bench/src/overhead/configuration.ts
@@ -3,14 +3,14 @@
 
 /** Key of the only customer. */
 export const customerKey = 'bench-key-of-the-only-customer';
-/** The only model. */
+/** Name of the only model. */
 export const modelName = 'chat';
 
-const unlimited = 1_000_000;
+const effectivelyUnlimited = 1_000_000;
 const wholeDay = [{from: '00:00', to: '24:00', targets: {firstToken: 600_000}}];
 
-/** Gets a configuration without limits that matter: one customer, one class, some engines. */
-export const getBenchConfiguration = (engines: Address[], slots: number): Configuration => ({
+/** Creates a configuration with one customer, one class and the given engines, whose limits are too high to take effect. */
+export const createBenchConfiguration = (engines: Address[], slots: number): Configuration => ({
 	inventory: {
 		engines: engines.map((address, index) => ({
 			id: `engine-${index}`, address, zone: 'zone-a', models: [modelName], adapters: [], role: 'mixed', accelerators: 1, slots, fencing: 'checked',
@@ -20,7 +20,7 @@
 		services: [],
 		customers: [{
 			id: 'bench', keyDigests: [getKeyDigest(customerKey)], weight: 1, timeZone: 'Etc/GMT', classes: ['bench'],
-			limits: {requestsPerSecond: unlimited, tokensPerSecond: 1000 * unlimited, concurrency: unlimited},
+			limits: {requestsPerSecond: effectivelyUnlimited, tokensPerSecond: 1000 * effectivelyUnlimited, concurrency: effectivelyUnlimited},
 		}],
 	},
 	rules: {
--- a/packages/bench/src/overhead/drive-main.ts
+++ b/packages/bench/src/overhead/drive-main.ts
@@ -1,5 +1,5 @@
 import process from 'node:process';
-import {drive, type DriveOptions} from './drive.js';
+import {driveLoad, type DriveOptions} from './drive.js';
 
 const options = JSON.parse(process.argv[2] ?? '{}') as DriveOptions;
-process.stdout.write(`${JSON.stringify(await drive(options))}\n`);
+process.stdout.write(`${JSON.stringify(await driveLoad(options))}\n`);
--- a/packages/bench/src/overhead/drive.ts
+++ b/packages/bench/src/overhead/drive.ts
@@ -2,50 +2,50 @@
 import {Agent, request as createRequest, type IncomingMessage} from 'node:http';
 import {customerKey, modelName} from './configuration.js';
 
-/** A closed loop of callers. */
+/** Options of a closed-loop load. */
 export type DriveOptions = {
 	address: string;
-	/** Callers that each send one request after another. */
+	/** Number of concurrent callers; each sends one request after another. */
 	streams: number;
-	/** Tokens of each answer. */
+	/** Tokens per answer. */
 	tokens: number;
 	stream: boolean;
-	/** Milliseconds before anything is counted. */
+	/** Milliseconds before answers and events are counted. */
 	warmUp: number;
-	/** Milliseconds in which answers are counted. */
+	/** Milliseconds during which answers and events are counted. */
 	duration: number;
 };
 
-/** What the callers saw in the counted time. */
+/** What the callers observed while answers and events were counted. */
 export type DriveResult = {
 	answers: number;
 	events: number;
 	failures: number;
-	/** Milliseconds from the call to the first byte of the first token. */
+	/** Milliseconds from the call to the first token, for each answer. */
 	first: number[];
-	/** Milliseconds from the call to the end of the answer. */
+	/** Milliseconds from the call to the end of the answer, for each answer. */
 	whole: number[];
 };
 
-type Answer = {events: number; firstAt: number; endAt: number; status: number};
+type AnswerTimes = {events: number; firstAt: number; endAt: number; status: number};
 
-/** Counts ends of events, which are empty lines. */
-const countEvents = (part: string): number => {
+/** Counts the server-sent events that end in a chunk; an empty line ends an event. */
+const countEvents = (chunk: string): number => {
 	let count = 0;
-	for (let at = part.indexOf('\n\n'); at !== -1; at = part.indexOf('\n\n', at + 2)) {
+	for (let at = chunk.indexOf('\n\n'); at !== -1; at = chunk.indexOf('\n\n', at + 2)) {
 		count++;
 	}
 
 	return count;
 };
 
-const readAnswer = async (message: IncomingMessage, onEvents: (count: number) => void): Promise<Answer> => {
-	const answer: Answer = {
+const readAnswer = async (message: IncomingMessage, onEvents: (count: number) => void): Promise<AnswerTimes> => {
+	const answer: AnswerTimes = {
 		events: 0, firstAt: 0, endAt: 0, status: message.statusCode ?? 0,
 	};
 	message.setEncoding('latin1');
-	for await (const part of message) {
-		const text = String(part);
+	for await (const chunk of message) {
+		const text = String(chunk);
 		if (answer.firstAt === 0 && text.includes('\n')) {
 			answer.firstAt = performance.now();
 		}
@@ -59,17 +59,17 @@
 	return answer;
 };
 
-const getBody = (caller: number, tokens: number, stream: boolean): string => JSON.stringify({
+const createBody = (caller: number, tokens: number, stream: boolean): string => JSON.stringify({
 	model: modelName, stream, messages: [{role: 'user', content: `Caller ${caller} #tokens=${tokens}`}],
 });
 
-/** Sends one request and reads its answer. */
+/** Sends one request and reads its whole answer. */
 export const callOnce = async (
 	{address, tokens, stream}: Pick<DriveOptions, 'address' | 'tokens' | 'stream'>,
 	{agent, caller, onEvents}: {agent: Agent; caller: number; onEvents: (count: number) => void},
-): Promise<Answer> => {
+): Promise<AnswerTimes> => {
 	const [host, port] = address.split(':');
-	const body = getBody(caller, tokens, stream);
+	const body = createBody(caller, tokens, stream);
 	const message = await new Promise<IncomingMessage>((resolve, reject) => {
 		const outgoing = createRequest({
 			host, port, method: 'POST', path: '/v1/chat/completions', agent,
@@ -81,51 +81,51 @@
 	return readAnswer(message, onEvents);
 };
 
-/** Runs the callers. */
-export const drive = async (options: DriveOptions): Promise<DriveResult> => {
+/** Runs closed-loop callers and returns what they observed. */
+export const driveLoad = async (options: DriveOptions): Promise<DriveResult> => {
 	const agent = new Agent({keepAlive: true});
 	const result: DriveResult = {
 		answers: 0, events: 0, failures: 0, first: [], whole: [],
 	};
-	const start = performance.now() + options.warmUp;
-	const end = start + options.duration;
-	const isCounted = (): boolean => performance.now() >= start && performance.now() < end;
+	const countedFrom = performance.now() + options.warmUp;
+	const countedUntil = countedFrom + options.duration;
+	const isInCountedTime = (): boolean => performance.now() >= countedFrom && performance.now() < countedUntil;
 	const onEvents = (count: number): void => {
-		result.events += isCounted() ? count : 0;
+		result.events += isInCountedTime() ? count : 0;
 	};
 
-	const add = (askedAt: number, answer: Answer): void => {
-		if (!isCounted()) {
+	const recordAnswer = (sentAt: number, answer: AnswerTimes): void => {
+		if (!isInCountedTime()) {
 			return;
 		}
 
 		result.answers++;
 		result.failures += answer.status === 200 ? 0 : 1;
-		result.first.push(answer.firstAt - askedAt);
-		result.whole.push(answer.endAt - askedAt);
+		result.first.push(answer.firstAt - sentAt);
+		result.whole.push(answer.endAt - sentAt);
 	};
 
 	const runCaller = async (caller: number): Promise<void> => {
 		/* eslint-disable no-await-in-loop -- A caller sends one request after another. */
-		while (performance.now() < end) {
-			const askedAt = performance.now();
-			add(askedAt, await callOnce(options, {agent, caller, onEvents}));
+		while (performance.now() < countedUntil) {
+			const sentAt = performance.now();
+			recordAnswer(sentAt, await callOnce(options, {agent, caller, onEvents}));
 		}
 		/* eslint-enable no-await-in-loop */
 	};
 
 	const callers = Array.from({length: options.streams}, async (_, caller) => {
 		try {
-			// Callers start one after another, so that their answers don't run in step.
+			// Callers start at staggered times, so that their answers are not synchronized.
 			await new Promise(resolve => {
 				setTimeout(resolve, options.warmUp / 2 * caller / options.streams);
 			});
 			await runCaller(caller);
 		} catch {
-			result.failures += performance.now() < end ? 1 : 0;
+			result.failures += performance.now() < countedUntil ? 1 : 0;
 		}
 	});
-	// Answers that are still open at the end are cut.
+	// Answers that are still streaming at the end are aborted.
 	setTimeout(() => {
 		agent.destroy();
 	}, options.warmUp + options.duration + 50);
--- a/packages/bench/src/overhead/figures.ts
+++ b/packages/bench/src/overhead/figures.ts
@@ -1,14 +1,14 @@
 import {getPercentile} from '@gentianlift/trial';
-import {startChild} from './child.js';
+import {startScript} from './child.js';
 import type {DriveOptions, DriveResult} from './drive.js';
 
-/** Runs callers in processes of their own, each with a part of the streams, and adds up what they saw. */
-export const driveFrom = async (processes: number, options: DriveOptions): Promise<DriveResult> => {
-	const part = {...options, streams: Math.ceil(options.streams / processes)};
+/** Runs closed-loop callers in child processes, each with an equal number of the streams, and merges the results. */
+export const driveLoadFromProcesses = async (processes: number, options: DriveOptions): Promise<DriveResult> => {
+	const optionsPerProcess = {...options, streams: Math.ceil(options.streams / processes)};
 	const children = await Promise.all(Array.from({length: processes}, async () =>
-		startChild('bench/dist/overhead/drive-main.js', [JSON.stringify(part)])));
+		startScript('bench/dist/overhead/drive-main.js', [JSON.stringify(optionsPerProcess)])));
 	const results = children.map(child => JSON.parse(child.firstLine) as DriveResult);
-	const sum = (pick: (result: DriveResult) => number): number => results.reduce((total, result) => total + pick(result), 0);
+	const sum = (getValue: (result: DriveResult) => number): number => results.reduce((total, result) => total + getValue(result), 0);
 	return {
 		answers: sum(({answers}) => answers),
 		events: sum(({events}) => events),
@@ -18,8 +18,8 @@
 	};
 };
 
-/** Gets the median. */
+/** Returns the median. */
 export const getMedian = (values: number[]): number => getPercentile(values, 0.5);
 
-/** Gets the 99th percentile. */
+/** Returns the 99th percentile. */
 export const getP99 = (values: number[]): number => getPercentile(values, 0.99);
--- a/packages/bench/src/overhead/relay-main.ts
+++ b/packages/bench/src/overhead/relay-main.ts
@@ -4,13 +4,13 @@
 import type {AddressInfo} from 'node:net';
 import process from 'node:process';
 
-/** A bare relay on Node's `http`, which the router is measured against: no parsing, no policy, round robin. */
+/** Addresses of the engines. This process is the baseline for the router: a bare HTTP relay on Node's `http` that chooses engines round robin, without parsing or scheduling. */
 const upstreams = (process.argv[2] ?? '').split(',').map(address => address.split(':'));
 const agent = new Agent({keepAlive: true});
-let next = 0;
+let nextUpstream = 0;
 
 const relay = (incoming: IncomingMessage, response: ServerResponse): void => {
-	const [host, port] = upstreams[next++ % upstreams.length] ?? [];
+	const [host, port] = upstreams[nextUpstream++ % upstreams.length] ?? [];
 	const outgoing = createRequest({
 		host, port, method: incoming.method, path: incoming.url, headers: incoming.headers, agent,
 	}, answer => {
--- a/packages/bench/src/overhead/rig.ts
+++ b/packages/bench/src/overhead/rig.ts
@@ -7,76 +7,76 @@
 	findPorts, getFleetSettings, isReady, publishConfiguration, startRouter, type RunningRouter,
 } from '@gentianlift/trial';
 import type {Settings} from '@gentianlift/types';
-import {startChild, type Child} from './child.js';
-import {getBenchConfiguration} from './configuration.js';
+import {startScript, type RunningScript} from './child.js';
+import {createBenchConfiguration} from './configuration.js';
 
-/** Engines, one router process and one bare relay before the same engines. */
-export type Rig = {
+/** Fake engines with one router process and one bare relay in front of them. */
+export type TestSetup = {
 	engines: string[];
 	relay: string;
 	router: RunningRouter;
 	stop: () => Promise<void>;
 };
 
-/** Shape of the engines. */
-export type RigOptions = {
+/** Options of a test setup. */
+export type TestSetupOptions = {
 	engines: number;
-	/** Milliseconds between two tokens. */
+	/** Milliseconds between two tokens of an engine. */
 	step: number;
 	slots: number;
 	settings?: Partial<Settings>;
 };
 
 const portsPerRouter = 4;
-const readyInterval = 50;
-const readyAttempts = 400;
-/** Time in which the router finds its place after it is ready. */
-const settleTime = 3000;
+const readyPollIntervalMs = 50;
+const readyPollCount = 400;
+/** Time for the router to reach a steady state after it is ready. */
+const stabilizationTimeMs = 3000;
 
-const getAddress = ({firstLine}: Child): string => firstLine.replace('listening ', '');
+const parseAddress = ({firstLine}: RunningScript): string => firstLine.replace('listening ', '');
 
-const startEngines = async ({engines, step, slots}: RigOptions): Promise<Child[]> =>
-	Promise.all(Array.from({length: engines}, async () => startChild('fakes/dist/main.js', [
+const startEngines = async ({engines, step, slots}: TestSetupOptions): Promise<RunningScript[]> =>
+	Promise.all(Array.from({length: engines}, async () => startScript('fakes/dist/main.js', [
 		'engine', '--slots', String(slots), '--step', String(step), '--stepPerRunning', '0', '--prefill', '1e7', '--cacheTokens', '1e12',
 	])));
 
 const waitUntilReady = async (router: RunningRouter): Promise<void> => {
 	const clock = createSystemClock();
-	/* eslint-disable no-await-in-loop -- Each question waits for the answer to the last. */
-	for (let attempt = 0; attempt < readyAttempts; attempt++) {
+	/* eslint-disable no-await-in-loop -- Each poll waits for the answer to the previous one. */
+	for (let attempt = 0; attempt < readyPollCount; attempt++) {
 		if (await isReady(router.settings)) {
 			return;
 		}
 
-		await clock.sleep(readyInterval);
+		await clock.sleep(readyPollIntervalMs);
 	}
 	/* eslint-enable no-await-in-loop */
 
 	throw new Error(`the router did not become ready; its log is ${router.logFile}`);
 };
 
-/** Starts a rig. */
-export const startRig = async (options: RigOptions): Promise<Rig> => {
+/** Starts a test setup. */
+export const startTestSetup = async (options: TestSetupOptions): Promise<TestSetup> => {
 	const clock = createSystemClock();
 	const engines = await startEngines(options);
-	const addresses = engines.map(engine => getAddress(engine));
-	const relay = await startChild('bench/dist/overhead/relay-main.js', [addresses.join(',')]);
+	const addresses = engines.map(engine => parseAddress(engine));
+	const relay = await startScript('bench/dist/overhead/relay-main.js', [addresses.join(',')]);
 	const [keyValue, hostList, weightStore] = await Promise.all([createKeyValue(), createHostList(), createWeightStore()]);
-	publishConfiguration(keyValue, getBenchConfiguration(addresses, options.slots), clock.now());
+	publishConfiguration(keyValue, createBenchConfiguration(addresses, options.slots), clock.now());
 	const [settings] = getFleetSettings({
 		zones: ['zone-a'], keyValueUrl: keyValue.listener.url, hostListUrl: hostList.listener.url, weightStoreUrl: weightStore.listener.url, ports: await findPorts(portsPerRouter),
 	}, options.settings ?? {});
 	if (settings === undefined) {
-		throw new Error('there are no ports for the router');
+		throw new Error('no settings for the router: the fleet is empty');
 	}
 
 	const folder = await mkdtemp(path.join(tmpdir(), 'gentianlift-bench-'));
 	const router = await startRouter(settings, folder, clock);
 	await waitUntilReady(router);
-	await clock.sleep(settleTime);
+	await clock.sleep(stabilizationTimeMs);
 	return {
 		engines: addresses,
-		relay: getAddress(relay),
+		relay: parseAddress(relay),
 		router,
 		async stop() {
 			await router.stop();
--- a/packages/bench/src/overhead/throughput.ts
+++ b/packages/bench/src/overhead/throughput.ts
@@ -1,32 +1,32 @@
-import {driveFrom} from './figures.js';
-import type {Rig} from './rig.js';
+import {driveLoadFromProcesses} from './figures.js';
+import type {TestSetup} from './rig.js';
 
-/** Requests or events a second through each way. */
-export type ThroughputRun = {relay: number; router: number; failures: number};
+/** Requests or events per second through the relay and through the router. */
+export type ThroughputMeasurement = {relay: number; router: number; failures: number};
 
 const millisecondsPerSecond = 1000;
-const warmUp = 1500;
-const duration = 5000;
+const warmUpMs = 1500;
+const durationMs = 5000;
 const driverProcesses = 3;
 
-/** Measures whole answers of one token, in a closed loop. */
-export const measureRequests = async (rig: Rig, callers: number): Promise<ThroughputRun> => {
-	const run = async (address: string) => driveFrom(driverProcesses, {
-		address, streams: callers, tokens: 1, stream: false, warmUp, duration,
+/** Measures requests per second in a closed loop, with answers of one token that aren't streamed. */
+export const measureRequests = async (setup: TestSetup, callers: number): Promise<ThroughputMeasurement> => {
+	const driveAddress = async (address: string) => driveLoadFromProcesses(driverProcesses, {
+		address, streams: callers, tokens: 1, stream: false, warmUp: warmUpMs, duration: durationMs,
 	});
-	const relay = await run(rig.relay);
-	const router = await run(rig.router.settings.callerAddress);
-	const seconds = duration / millisecondsPerSecond;
+	const relay = await driveAddress(setup.relay);
+	const router = await driveAddress(setup.router.settings.callerAddress);
+	const seconds = durationMs / millisecondsPerSecond;
 	return {relay: relay.answers / seconds, router: router.answers / seconds, failures: relay.failures + router.failures};
 };
 
-/** Measures events of long answers, of which engines offer more than one process can relay. */
-export const measureEvents = async (rig: Rig, streams: number): Promise<ThroughputRun> => {
-	const run = async (address: string) => driveFrom(driverProcesses, {
-		address, streams, tokens: 1_000_000, stream: true, warmUp, duration,
+/** Measures events per second of long streams; the engines produce more events than one process can relay. */
+export const measureEvents = async (setup: TestSetup, streams: number): Promise<ThroughputMeasurement> => {
+	const driveAddress = async (address: string) => driveLoadFromProcesses(driverProcesses, {
+		address, streams, tokens: 1_000_000, stream: true, warmUp: warmUpMs, duration: durationMs,
 	});
-	const relay = await run(rig.relay);
-	const router = await run(rig.router.settings.callerAddress);
-	const seconds = duration / millisecondsPerSecond;
+	const relay = await driveAddress(setup.relay);
+	const router = await driveAddress(setup.router.settings.callerAddress);
+	const seconds = durationMs / millisecondsPerSecond;
 	return {relay: relay.events / seconds, router: router.events / seconds, failures: 0};
 };
