--- a/packages/bench/src/slopes/measure.ts
+++ b/packages/bench/src/slopes/measure.ts
@@ -2,35 +2,35 @@
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-/** Processor time and heap that some work took. */
+/** Processor time and heap that an operation used. */
 export type Cost = {
-	/** Milliseconds of processor time. */
+	/** Processor time in milliseconds. */
 	processor: number;
-	/** Bytes of heap that it holds after a collection. */
+	/** Heap in bytes that remains in use after garbage collection. */
 	heap: number;
 };
 
 const microsecondsPerMillisecond = 1000;
 
 setFlagsFromString('--expose-gc');
-const collect = runInNewContext('gc') as () => void;
+const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Runs work and measures what it took; `keep` holds what the work made until the heap is read. */
+/** Runs work and measures its cost. The result is returned as `kept`, so that it is still reachable, and counted, when the heap is read. */
 export const measure = async <Kept>(work: () => Promise<Kept> | Kept): Promise<Cost & {kept: Kept}> => {
-	collect();
+	collectGarbage();
 	const heapBefore = process.memoryUsage().heapUsed;
 	const before = process.cpuUsage();
 	const kept = await work();
 	const {user, system} = process.cpuUsage(before);
-	collect();
+	collectGarbage();
 	return {processor: (user + system) / microsecondsPerMillisecond, heap: process.memoryUsage().heapUsed - heapBefore, kept};
 };
 
-/** A straight line through measured points, by least squares. */
-export type Line = {slope: number; intercept: number};
+/** Straight line fitted to measured points by least squares. */
+export type LinearFit = {slope: number; intercept: number};
 
-/** Fits a line; `points` are pairs of a size and what was measured at it. */
-export const fitLine = (points: ReadonlyArray<{size: number; value: number}>): Line => {
+/** Fits a line to points by least squares; a point is a size and the value measured at it. */
+export const fitLine = (points: ReadonlyArray<{size: number; value: number}>): LinearFit => {
 	const count = points.length;
 	const meanSize = points.reduce((sum, {size}) => sum + size, 0) / count;
 	const meanValue = points.reduce((sum, {value}) => sum + value, 0) / count;
--- a/packages/bench/src/slopes/roles.ts
+++ b/packages/bench/src/slopes/roles.ts
@@ -9,22 +9,22 @@
 } from '@gentianlift/scheduler';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 import {measure, type Cost} from './measure.js';
-import {getConfiguration, getRequest} from './synthetic.js';
+import {createConfiguration, createRequest} from './synthetic.js';
 
-/** What one role took at one size. */
-export type Sample = {size: number; cost: Cost; messages: number; bytes: number};
+/** Cost, messages and bytes of one role at one size. */
+export type CostSample = {size: number; cost: Cost; messages: number; bytes: number};
 
 const clock = createSystemClock();
 
-const getVersion = (configuration: Configuration): ConfigurationVersion => ({
+const createVersion = (configuration: Configuration): ConfigurationVersion => ({
 	version: 1, token: 'bench', author: 'bench', acceptedAt: 0, note: '', configuration,
 });
 
-const createCounter = () => {
+const createMessageCounter = () => {
 	let messages = 0;
 	let bytes = 0;
 	return {
-		/** Passes a message on as the wire would: as a copy, counted in bytes of JSON. */
+		/** Returns a copy of a message, serialized as between hosts, and counts it and its bytes of JSON. */
 		pass<Message>(message: Message): Message {
 			const text = JSON.stringify(compactCodec.serialize(message));
 			messages++;
@@ -35,9 +35,9 @@
 	};
 };
 
-/** A host that asks and a host that owns, joined by counted messages. */
+/** Creates a grant client at one host and a group owner at another, connected by counted messages. */
 const createPair = (configuration: Configuration) => {
-	const counter = createCounter();
+	const counter = createMessageCounter();
 	const groups = getGroups(configuration);
 	const shared = {
 		clock, random: createRandom(1), metrics: createMetrics(), getOwnerOf: () => 'owner', getHosts: () => [{host: 'owner', zone: 'zone-0'}, {host: 'asker', zone: 'zone-0'}],
@@ -55,17 +55,17 @@
 		getGroups: () => groups,
 		peers: {exchangeGrants: async (_to, message) => ({kind: 'answered', answer: counter.pass(owner.handle('asker', counter.pass(message)))})},
 	});
-	owner.applyConfiguration(getVersion(configuration));
+	owner.applyConfiguration(createVersion(configuration));
 	return {owner, client, counter};
 };
 
-/** Grants that are asked for and ended one after another: both sides of the exchange in one process. */
-export const measureGrants = async (requests: number): Promise<Sample> => {
-	const {owner, client, counter} = createPair(getConfiguration({engines: 8, models: 1, customers: 100}));
+/** Measures grants that are requested and ended one after another, with both sides of the exchange in one process. */
+export const measureGrants = async (requests: number): Promise<CostSample> => {
+	const {owner, client, counter} = createPair(createConfiguration({engines: 8, models: 1, customers: 100}));
 	const cost = await measure(async () => {
 		for (let index = 0; index < requests; index++) {
-			const request = getRequest(index, clock.now());
-			// eslint-disable-next-line no-await-in-loop -- One request follows another.
+			const request = createRequest(index, clock.now());
+			// eslint-disable-next-line no-await-in-loop -- Requests run one after another.
 			const grant = await client.requestGrant(request);
 			if (grant.kind === 'granted') {
 				client.reportEnd({
@@ -79,12 +79,12 @@
 	return {size: requests, cost, ...counter.read()};
 };
 
-/** Requests that wait: the state that they hold at both sides, with all slots taken. */
-export const measureWaiting = async (waiting: number): Promise<Sample> => {
-	const {owner, client, counter} = createPair(getConfiguration({engines: 1, models: 1, customers: 100}));
+/** Measures the state that queued requests hold at both sides while all slots are taken. */
+export const measureQueuedRequests = async (queuedCount: number): Promise<CostSample> => {
+	const {owner, client, counter} = createPair(createConfiguration({engines: 1, models: 1, customers: 100}));
 	const cost = await measure(async () => {
-		for (let index = 0; index < waiting; index++) {
-			void client.requestGrant(getRequest(index, clock.now() + 3_600_000));
+		for (let index = 0; index < queuedCount; index++) {
+			void client.requestGrant(createRequest(index, clock.now() + 3_600_000));
 		}
 
 		await clock.sleep(500);
@@ -92,13 +92,13 @@
 	});
 	owner.stop();
 	client.stop();
-	return {size: waiting, cost, ...counter.read()};
+	return {size: queuedCount, cost, ...counter.read()};
 };
 
-/** Limits of customers in use at one host: one exchange for each customer. */
-export const measureQuota = async (customers: number): Promise<Sample> => {
-	const counter = createCounter();
-	const limits = getLimits(getConfiguration({engines: 1, models: 1, customers}));
+/** Measures customers' limits in use at one host, with one quota exchange per customer. */
+export const measureQuota = async (customers: number): Promise<CostSample> => {
+	const counter = createMessageCounter();
+	const limits = getLimits(createConfiguration({engines: 1, models: 1, customers}));
 	const shared = {
 		clock, metrics: createMetrics(), getHosts: () => [{host: 'owner'}, {host: 'asker'}], getOwnerOf: () => 'owner', getLimits: () => limits,
 	};
@@ -117,10 +117,10 @@
 	return {size: customers, cost, ...counter.read()};
 };
 
-/** A configuration as it arrives: its text parsed, checked, and cut into groups. */
-export const measureConfiguration = async (engines: number): Promise<Sample> => {
-	const configuration = getConfiguration({engines, models: Math.max(1, Math.round(engines / 74)), customers: Math.round(engines / 2)});
-	const text = JSON.stringify(getVersion(configuration));
+/** Measures the processing of a received configuration: parsing and checking its text, and dividing it into groups. */
+export const measureConfiguration = async (engines: number): Promise<CostSample> => {
+	const configuration = createConfiguration({engines, models: Math.max(1, Math.round(engines / 74)), customers: Math.round(engines / 2)});
+	const text = JSON.stringify(createVersion(configuration));
 	const cost = await measure(() => {
 		const parsed = parseVersionText(text);
 		if (parsed.kind === 'invalid') {
@@ -134,12 +134,12 @@
 	};
 };
 
-/** Accounts of requests that a host remembers. */
-export const measureAccounts = async (count: number): Promise<Sample> => {
+/** Measures the accounts of finished requests that a host keeps. */
+export const measureAccounts = async (count: number): Promise<CostSample> => {
 	const cost = await measure(() => {
 		const accounts = createAccounts({clock, capacity: count});
 		for (let index = 0; index < count; index++) {
-			const request = getRequest(index, clock.now());
+			const request = createRequest(index, clock.now());
 			accounts.open(request);
 			accounts.apply({kind: 'attempt-started', request: request.id, upstream: 'engine-0'});
 			accounts.apply({kind: 'finished', request: request.id, status: 200});
--- a/packages/bench/src/slopes/synthetic.ts
+++ b/packages/bench/src/slopes/synthetic.ts
@@ -3,11 +3,11 @@
 } from '@gentianlift/types';
 
 const keysPerCustomer = 1;
-const slots = 32;
+const slotsPerEngine = 32;
 
 const range = (count: number): number[] => Array.from({length: count}, (_, index) => index);
 
-const getEngine = (index: number, models: number): Engine => ({
+const createEngine = (index: number, models: number): Engine => ({
 	id: `engine-${index}`,
 	address: `10.${Math.floor(index / 65_536)}.${Math.floor(index / 256) % 256}.${index % 256}:8000`,
 	zone: `zone-${index % 4}`,
@@ -15,11 +15,11 @@
 	adapters: [],
 	role: 'mixed',
 	accelerators: 8,
-	slots,
+	slots: slotsPerEngine,
 	fencing: 'checked',
 });
 
-const getCustomer = (index: number): Customer => ({
+const createCustomer = (index: number): Customer => ({
 	id: `customer-${index}`,
 	keyDigests: range(keysPerCustomer).map(key => `${index}-${key}`.padStart(64, '0').replaceAll('-', 'a')),
 	weight: 1,
@@ -28,17 +28,17 @@
 	classes: ['question'],
 });
 
-/** Size of a synthetic deployment. */
-export type Size = {engines: number; models: number; customers: number};
+/** Numbers of the items of a synthetic deployment. */
+export type DeploymentSize = {engines: number; models: number; customers: number};
 
-/** Gets a configuration of a size, with four tiers and one class. */
-export const getConfiguration = ({engines, models, customers}: Size): Configuration => ({
+/** Creates a configuration of a size, with four tiers and one class. */
+export const createConfiguration = ({engines, models, customers}: DeploymentSize): Configuration => ({
 	inventory: {
-		engines: range(engines).map(index => getEngine(index, models)),
+		engines: range(engines).map(index => createEngine(index, models)),
 		models: range(models).map(index => ({name: `model-${index}`, bytes: 16_000_000_000, contextTokens: 32_768})),
 		adapters: [],
 		services: [],
-		customers: range(customers).map(index => getCustomer(index)),
+		customers: range(customers).map(index => createCustomer(index)),
 	},
 	rules: {
 		tiers: range(4).map(index => ({name: `tier-${index}`, outranks: index < 3 ? [`tier-${index + 1}`] : [], floor: 0.05})),
@@ -48,8 +48,8 @@
 	},
 });
 
-/** Gets a classified request for the first model. */
-export const getRequest = (index: number, now: number): ClassifiedRequest => ({
+/** Creates a classified request for the first model. */
+export const createRequest = (index: number, now: number): ClassifiedRequest => ({
 	id: `host-1.1796337534350.${index}`,
 	customer: `customer-${index % 100}`,
 	weight: 1,
