--- a/packages/bench/src/claims/fleet.ts
+++ b/packages/bench/src/claims/fleet.ts
@@ -49,6 +49,7 @@
 	};
 };
 
+/** Outcome that every booking is settled with. */
 const finishedOutcome = {
 	kind: 'finished' as const, status: 200, contentType: 'application/json', body: upstreamAnswerBody,
 };
--- a/packages/bench/src/histories/checker.ts
+++ b/packages/bench/src/histories/checker.ts
@@ -66,6 +66,7 @@
 		sentDigests.get(request) === digest ? undefined : `${request} ran with ${digest}`);
 };
 
+/** Whether a stored outcome changed in a way that is not allowed. A claim may get its outcome, and after `not-run` another request may claim the booking. */
 const isOutcomeChange = (before: Claim, after: Claim): boolean => {
 	if (before.outcome.kind === 'claimed') {
 		return false;
--- a/packages/bench/src/histories/histories.test.ts
+++ b/packages/bench/src/histories/histories.test.ts
@@ -13,7 +13,7 @@
 	return mergeResults(results);
 };
 
-const getViolated = async (count: number, fault?: SeededFault): Promise<string[]> => {
+const getViolatedGuarantees = async (count: number, fault?: SeededFault): Promise<string[]> => {
 	const results = await runSchedules(count, fault);
 	return results.filter(({violations}) => violations.length > 0).map(({name}) => name);
 };
@@ -29,15 +29,15 @@
 });
 
 test('detects writes that skip the revision check', async () => {
-	expect(await getViolated(10, 'write-without-compare')).toContain('a stored outcome never changes');
+	expect(await getViolatedGuarantees(10, 'write-without-compare')).toContain('a stored outcome never changes');
 });
 
 test('detects a start after a claim write with an unknown outcome', async () => {
-	expect(await getViolated(10, 'unknown-as-applied')).toContain('a claim is stored before its request runs');
+	expect(await getViolatedGuarantees(10, 'unknown-as-applied')).toContain('a claim is stored before its request runs');
 });
 
 test('detects an interrupted call that is reported as not run', async () => {
-	expect(await getViolated(10, 'cut-as-not-run')).toEqual(expect.arrayContaining([
+	expect(await getViolatedGuarantees(10, 'cut-as-not-run')).toEqual(expect.arrayContaining([
 		'a booking runs at most once', 'what was told not run did not run',
 	]));
 });
--- a/packages/bench/src/histories/host.ts
+++ b/packages/bench/src/histories/host.ts
@@ -107,6 +107,7 @@
 	}
 };
 
+/** Outcome of a call to the upstream to store in the claim, and the answer to the caller. */
 type UpstreamRun = {outcome: ClaimOutcome; answer: Answer};
 
 const runAtUpstream = async (simulation: Simulation, link: Link, request: ClaimRequest, booking: string): Promise<UpstreamRun> => {
--- a/packages/bench/src/histories/schedule.ts
+++ b/packages/bench/src/histories/schedule.ts
@@ -20,6 +20,7 @@
 const differentBodyProbability = 0.05;
 const maxGoneDelayMs = 1000;
 
+/** Creates an idempotency key: a UUIDv7, which carries its creation time, or a text that carries none. */
 const createKey = (index: number, random: Random): string => {
 	const time = startTime.toString(16).padStart(12, '0');
 	return random.next() < 0.5
--- a/packages/bench/src/policy/run.ts
+++ b/packages/bench/src/policy/run.ts
@@ -89,7 +89,7 @@
 	return [...arrivals, ...floodArrivals].toSorted((left, right) => left.at - right.at);
 };
 
-/** Slows one engine down after a third of the run, and crashes and restarts another at half of it. */
+/** Schedules the faults of `straggler-and-crash`: slows one engine down after a third of the run, and crashes and restarts another at half of it. */
 const scheduleFaults = ({clock, engines}: Deployment, {faults, seconds}: RunOptions): void => {
 	if (faults !== 'straggler-and-crash') {
 		return;
--- a/packages/bench/src/slopes/index.ts
+++ b/packages/bench/src/slopes/index.ts
@@ -30,6 +30,7 @@
 	fitLine(samples.map(sample => ({size: sample.size, value: getValue(sample)}))).slope;
 
 const printRole = async ({name, unit, sizes, run}: Role): Promise<void> => {
+	// Runs once without recording, so that compilation doesn't count.
 	await run(sizes[0] ?? 1);
 	const samples: CostSample[] = [];
 	for (const size of sizes) {
