--- a/packages/bench/src/claims/fleet.ts
+++ b/packages/bench/src/claims/fleet.ts
@@ -1,6 +1,6 @@
 import {randomUUID} from 'node:crypto';
 import {createRandom, createSystemClock, type Random} from '@gentianlift/clock';
-import {createClaimClient, createClaimOwner, type ClaimOwner} from '@gentianlift/claims';
+import {createClaimClient, createClaimStore, type ClaimStore} from '@gentianlift/claims';
 import {createMetrics} from '@gentianlift/metrics';
 import {createKeyValueClient, type KeyValueClient} from '@gentianlift/platform';
 import type {ClaimRequest, HostId} from '@gentianlift/types';
@@ -40,7 +40,7 @@
 
 /** Creates a booking at a random host. Its idempotency key is a UUIDv7, which carries its creation time. */
 export const createBooking = (sequence: number, hosts: number, random: Random): Booking => {
-	const host = random.below(hosts);
+	const host = random.nextInt(hosts);
 	return {
 		host,
 		request: {
@@ -100,7 +100,7 @@
 	const clock = createSystemClock();
 	const metrics = createMetrics();
 	const hostNames = Array.from({length: hosts}, (_, index) => `host-${index}`);
-	const owners = new Map<HostId, ClaimOwner>();
+	const owners = new Map<HostId, ClaimStore>();
 	const keyValues: KeyValueClient[] = [];
 	const clients = hostNames.map((self, index) => {
 		const keyValue = createKeyValueClient({url, clock, timeout: keyValueTimeoutMs});
@@ -108,12 +108,12 @@
 		const shared = {
 			clock, random: createRandom(index + 1), metrics, keyValue,
 		};
-		const owner = createClaimOwner(shared);
+		const owner = createClaimStore(shared);
 		owners.set(self, owner);
 		return createClaimClient({
 			...shared,
 			self,
-			owner,
+			claimStore: owner,
 			getOwner: key => hasSharedSlots ? hostNames[hashKey(key) % hosts] : self,
 			peers: {
 				claim: async (to, message) => ({kind: 'answered', answer: await owners.get(to)!.claim(self, message)}),
--- a/packages/bench/src/claims/run.ts
+++ b/packages/bench/src/claims/run.ts
@@ -1,7 +1,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {createKeyValue} from '@gentianlift/fakes';
+import {createFakeKeyValue} from '@gentianlift/fakes';
 import {createRandom} from '@gentianlift/clock';
-import {createMetrics, type Summary} from '@gentianlift/metrics';
+import {createMetrics, type HistogramSummary} from '@gentianlift/metrics';
 import {
 	createBooking, createFleet, type ClaimMode, type Fleet,
 } from './fleet.js';
@@ -15,7 +15,7 @@
 	refused: number;
 	startedPerSecond: number;
 	/** Latency of a claim, in microseconds. */
-	latency: Summary | undefined;
+	latency: HistogramSummary | undefined;
 	readsPerBooking: number;
 	writesPerBooking: number;
 	bytesPerBooking: number;
@@ -71,7 +71,7 @@
 
 /** Runs a measurement against a new key-value service. */
 export const runLoad = async (load: Load): Promise<LoadResult> => {
-	const keyValue = await createKeyValue(keyValueOptions);
+	const keyValue = await createFakeKeyValue(keyValueOptions);
 	const fleet = createFleet(load.mode, load.hosts, `http://${keyValue.listener.address}`);
 	const random = createRandom(load.seed);
 	const metrics = createMetrics();
--- a/packages/bench/src/configuration/command.ts
+++ b/packages/bench/src/configuration/command.ts
@@ -44,7 +44,7 @@
 	const publications: PublicationTimes[] = [];
 	for (let run = 0; run < runs; run++) {
 		// eslint-disable-next-line no-await-in-loop -- The random gap decouples publications from the periods of watches and polls.
-		await clock.sleep(random.below(maxGap));
+		await clock.sleep(random.nextInt(maxGap));
 		// eslint-disable-next-line no-await-in-loop -- Publications run one after another.
 		publications.push(await measurePublication(deployment, 2 + (run % 2)));
 	}
--- a/packages/bench/src/faults/fault-impact.test.ts
+++ b/packages/bench/src/faults/fault-impact.test.ts
@@ -4,7 +4,7 @@
 import {getFaultImpact} from './fault-impact.js';
 
 const createRecord = (change: Partial<CallRecord>): CallRecord => ({
-	className: 'cut-order', customer: 'c', at: 6000, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r1', wholeAfter: 10, tokens: 0, ...change,
+	className: 'cut-order', customer: 'c', scheduledAt: 6000, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r1', timeToCompletion: 10, tokens: 0, ...change,
 });
 
 const createCall = (change: Partial<ServiceCall>): ServiceCall => ({
@@ -27,7 +27,7 @@
 });
 
 test('measures recovery from the fault to the last request with a failed attempt', () => {
-	const records = [createRecord({at: 4000, errors: ['connection']}), createRecord({at: 7000, errors: ['connection'], retries: 1}), createRecord({at: 9000})];
+	const records = [createRecord({scheduledAt: 4000, errors: ['connection']}), createRecord({scheduledAt: 7000, errors: ['connection'], retries: 1}), createRecord({scheduledAt: 9000})];
 	const impact = getFaultImpact(records, [], 5000);
 	expect(impact).toMatchObject({
 		recoveredAfter: 2000, retried: 1, lost: 0, cut: 0,
--- a/packages/bench/src/faults/faults.ts
+++ b/packages/bench/src/faults/faults.ts
@@ -62,7 +62,7 @@
 export const faults: Fault[] = [
 	{
 		name: 'host killed', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
-			const {signal, settings} = getRouter(deployment, faultyHostIndexes.killed);
+			const {sendSignal: signal, settings} = getRouter(deployment, faultyHostIndexes.killed);
 			signal('SIGKILL');
 			await deployment.clock.sleep(restartDelay);
 			await deployment.restartRouter(settings.host);
@@ -70,7 +70,7 @@
 	},
 	{
 		name: 'host paused', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
-			const {signal} = getRouter(deployment, faultyHostIndexes.paused);
+			const {sendSignal: signal} = getRouter(deployment, faultyHostIndexes.paused);
 			signal('SIGSTOP');
 			await deployment.clock.sleep(pauseDuration);
 			signal('SIGCONT');
--- a/packages/bench/src/histories/host.ts
+++ b/packages/bench/src/histories/host.ts
@@ -1,6 +1,6 @@
 import {createRandom} from '@gentianlift/clock';
 import {
-	claimLimits, createBookingId, createClaimClient, createClaimOwner, type ClaimClient, type ClaimOwner,
+	claimLimits, appendSlotToRequestId, createClaimClient, createClaimStore, type ClaimClient, type ClaimStore,
 } from '@gentianlift/claims';
 import {createMetrics} from '@gentianlift/metrics';
 import type {
@@ -17,7 +17,7 @@
 	id: HostId;
 	incarnation: Incarnation;
 	processState: ProcessState;
-	owner: ClaimOwner;
+	owner: ClaimStore;
 	client: ClaimClient;
 	/** Handles a caller's booking and resolves with its answer, or never if the process dies. */
 	book: (booking: {booking: string; digest: string}, onRequest: (request: RequestId) => void) => Promise<Answer>;
@@ -136,15 +136,15 @@
 	});
 	const shared = {
 		clock,
-		random: createRandom(random.below(2 ** 30)),
+		random: createRandom(random.nextInt(2 ** 30)),
 		metrics: createMetrics(),
 		keyValue: createLinkedKeyValue(simulation, createHostLink(keyValueTimeoutMs)),
 		isGone: (host: HostId, hostIncarnation: Incarnation) => simulation.goneIncarnations.has(`${host}.${hostIncarnation}`),
 		limits: benchClaimLimits,
 	};
-	const owner = createClaimOwner(shared);
+	const owner = createClaimStore(shared);
 	const client = createClaimClient({
-		...shared, self: id, peers: createPeerCalls(simulation, createHostLink(peerTimeoutMs), id), getOwner, owner,
+		...shared, self: id, peers: createPeerCalls(simulation, createHostLink(peerTimeoutMs), id), getOwner, claimStore: owner,
 	});
 	const upstreamLink = createHostLink(upstreamTimeoutMs);
 	let sequence = 0;
@@ -152,7 +152,7 @@
 	const createRequest = (booking: string, digest: string): ClaimRequest => {
 		const key = {customer, key: booking};
 		return {
-			key, digest, request: createBookingId(`${id}.${incarnation}.${++sequence}`, key, benchClaimLimits), host: id, incarnation,
+			key, digest, request: appendSlotToRequestId(`${id}.${incarnation}.${++sequence}`, key, benchClaimLimits), host: id, incarnation,
 		};
 	};
 
@@ -166,7 +166,7 @@
 			await waitUntilRunning(processState, clock);
 			const request = createRequest(booking, digest);
 			onRequest(request.request);
-			const decision = await client.join(request, joinTimeoutMs);
+			const decision = await client.claimOrWait(request, joinTimeoutMs);
 			await waitUntilRunning(processState, clock);
 			if (decision.kind !== 'start') {
 				return toAnswer(decision);
--- a/packages/bench/src/histories/link.ts
+++ b/packages/bench/src/histories/link.ts
@@ -42,7 +42,7 @@
 export const createLink = ({
 	clock, random, processState, faults, timeout,
 }: LinkOptions): Link => {
-	const getDelay = (): Milliseconds => random.next() < faults().late ? random.below(maxLateDelay) : random.below(maxUsualDelay);
+	const getDelay = (): Milliseconds => random.next() < faults().late ? random.nextInt(maxLateDelay) : random.nextInt(maxUsualDelay);
 
 	const deliver = async <Answer>(run: () => Promise<Answer>): Promise<Answer> => {
 		await clock.sleep(getDelay());
--- a/packages/bench/src/histories/processes.ts
+++ b/packages/bench/src/histories/processes.ts
@@ -1,6 +1,6 @@
 import {Agent} from 'node:http';
 import {createRandom, type Random} from '@gentianlift/clock';
-import {getAnswer as getExpectedAnswer, getAnswerText, type Faults} from '@gentianlift/fakes';
+import {computeAnswer as getExpectedAnswer, getAnswerText, type Faults} from '@gentianlift/fakes';
 import {
 	sendRequest, startDeployment, type Deployment, type Reply,
 } from '@gentianlift/trial';
@@ -71,7 +71,7 @@
 };
 
 const toAnswer = (reply: Reply): Answer => {
-	if (!reply.whole || reply.status !== 200) {
+	if (!reply.isComplete || reply.status !== 200) {
 		return {ran: reply.ran, reason: reply.error ?? `status ${reply.status}`};
 	}
 
@@ -99,8 +99,8 @@
 /** Sends a chat request whose expected answer can be computed from its prompt. */
 const sendQuestion = async ({deployment, random, agent, events}: RunContext, name: string): Promise<void> => {
 	const {clock, routers, keys} = deployment;
-	await clock.sleep(random.below(maxStartDelayMs));
-	const prompt = {model: questionModel, messages: [{role: 'user', content: `${name} #tokens=${1 + random.below(maxAnswerTokens)}`}]};
+	await clock.sleep(random.nextInt(maxStartDelayMs));
+	const prompt = {model: questionModel, messages: [{role: 'user', content: `${name} #tokens=${1 + random.nextInt(maxAnswerTokens)}`}]};
 	const {callerAddress} = random.pick(routers)!.settings;
 	const reply = await sendRequest({
 		at: 0, className: 'yard-question', customer, method: 'POST', path: questionPath, body: JSON.stringify({...prompt, stream: true}),
@@ -110,7 +110,7 @@
 	if (reply.status === 200) {
 		const answer = getExpectedAnswer(prompt, 1);
 		events.push({
-			kind: 'answered', at: clock.now(), request: reply.request, isWhole: reply.whole, text: reply.text, expected: getAnswerText(answer, answer.length),
+			kind: 'answered', at: clock.now(), request: reply.request, isWhole: reply.isComplete, text: reply.text, expected: getAnswerText(answer, answer.length),
 		});
 	}
 };
@@ -118,7 +118,7 @@
 const sendBookingRepeatedly = async (run: RunContext, booking: string): Promise<void> => {
 	const {clock} = run.deployment;
 	const attempts = Array.from({length: attemptsPerBooking}, async () => {
-		await clock.sleep(run.random.below(maxStartDelayMs));
+		await clock.sleep(run.random.nextInt(maxStartDelayMs));
 		await sendBooking(run, booking);
 	});
 	await Promise.all(attempts);
@@ -126,40 +126,40 @@
 
 const killRouter = async ({deployment, random, killedAt}: RunContext): Promise<void> => {
 	const {clock, routers, restartRouter} = deployment;
-	await clock.sleep(random.below(maxStartDelayMs));
+	await clock.sleep(random.nextInt(maxStartDelayMs));
 	const router = random.pick(routers)!;
 	const {host} = router.settings;
-	router.signal('SIGKILL');
-	await router.ended;
+	router.sendSignal('SIGKILL');
+	await router.exited;
 	killedAt.set(host, clock.now());
-	await clock.sleep(random.below(1000));
+	await clock.sleep(random.nextInt(1000));
 	await restartRouter(host);
 };
 
 const pauseRouter = async ({deployment: {clock, routers}, random}: RunContext): Promise<void> => {
-	await clock.sleep(random.below(maxStartDelayMs));
+	await clock.sleep(random.nextInt(maxStartDelayMs));
 	const router = random.pick(routers)!;
-	router.signal('SIGSTOP');
-	await clock.sleep(random.below(maxStartDelayMs));
-	router.signal('SIGCONT');
+	router.sendSignal('SIGSTOP');
+	await clock.sleep(random.nextInt(maxStartDelayMs));
+	router.sendSignal('SIGCONT');
 };
 
 const injectFault = async ({deployment: {clock}, random}: RunContext, faults: Faults, enabledFaults: Faults): Promise<void> => {
-	await clock.sleep(random.below(maxStartDelayMs));
+	await clock.sleep(random.nextInt(maxStartDelayMs));
 	Object.assign(faults, enabledFaults);
-	await clock.sleep(random.below(maxStartDelayMs));
+	await clock.sleep(random.nextInt(maxStartDelayMs));
 	Object.assign(faults, noFaults);
 };
 
 /** Crashes two engines, which may be down at the same time. */
 const crashEngines = async ({deployment: {clock, engines}, random}: RunContext): Promise<void> => {
 	const engineList = [...engines.values()];
-	const first = random.below(engineList.length);
+	const first = random.nextInt(engineList.length);
 	const chosen = [engineList[first]!, engineList[(first + 1) % engineList.length]!];
 	await Promise.all(chosen.map(async ({listener}) => {
-		await clock.sleep(random.below(maxStartDelayMs));
+		await clock.sleep(random.nextInt(maxStartDelayMs));
 		await listener.crash();
-		await clock.sleep(random.below(maxStartDelayMs));
+		await clock.sleep(random.nextInt(maxStartDelayMs));
 		await listener.restart();
 	}));
 };
--- a/packages/bench/src/histories/schedule.ts
+++ b/packages/bench/src/histories/schedule.ts
@@ -62,7 +62,7 @@
 const restartHost = (simulation: Simulation, id: HostId): void => {
 	const host = simulation.hosts.get(id)!;
 	host.processState.isAlive = false;
-	simulation.clock.after(simulation.random.below(maxGoneDelayMs), () => {
+	simulation.clock.after(simulation.random.nextInt(maxGoneDelayMs), () => {
 		simulation.goneIncarnations.add(`${id}.${host.incarnation}`);
 	});
 	startHost(simulation, id, host.incarnation + 1);
@@ -71,7 +71,7 @@
 /** Pauses a host; the others may consider it gone meanwhile. */
 const pauseHost = (simulation: Simulation, id: HostId): void => {
 	const {processState, incarnation} = simulation.hosts.get(id)!;
-	processState.pausedUntil = simulation.clock.monotonic() + simulation.random.below(3000);
+	processState.pausedUntil = simulation.clock.monotonic() + simulation.random.nextInt(3000);
 	if (simulation.random.next() < 0.5) {
 		simulation.goneIncarnations.add(`${id}.${incarnation}`);
 	}
@@ -79,7 +79,7 @@
 
 const sendBooking = async (simulation: Simulation, booking: string): Promise<void> => {
 	const {clock, random, events} = simulation;
-	await clock.sleep(random.below(maxStartDelayMs));
+	await clock.sleep(random.nextInt(maxStartDelayMs));
 	const host = simulation.hosts.get(random.pick(hostIds)!)!;
 	const digest = random.next() < differentBodyProbability ? 'other' : 'body';
 	let request = '';
@@ -100,7 +100,7 @@
 		void sendBooking(simulation, booking);
 		if (simulation.random.next() < 0.6) {
 			// eslint-disable-next-line no-await-in-loop -- The caller waits before it sends the booking again.
-			await simulation.clock.sleep(simulation.random.below(maxRetryDelayMs));
+			await simulation.clock.sleep(simulation.random.nextInt(maxRetryDelayMs));
 		}
 	}
 };
@@ -109,7 +109,7 @@
 	const {clock, random, keyValue} = simulation;
 	const scheduleFault = (probability: number, run: () => void): void => {
 		if (random.next() < probability) {
-			clock.after(random.below(faultDurationMs), run);
+			clock.after(random.nextInt(faultDurationMs), run);
 		}
 	};
 
@@ -127,7 +127,7 @@
 
 	scheduleFault(0.4, () => {
 		keyValue.setFaults({outage: true});
-		clock.after(random.below(5000), () => {
+		clock.after(random.nextInt(5000), () => {
 			keyValue.setFaults({outage: false});
 		});
 	});
@@ -151,7 +151,7 @@
 	const liveIncarnations = new Set([...simulation.hosts.values()].map(({id, incarnation}) => `${id}.${incarnation}.`));
 	return {
 		events: simulation.events,
-		writes: simulation.keyValue.getHistory(),
+		writes: simulation.keyValue.getAppliedWrites(),
 		expectedSettlements: simulation.settlements.filter(({request}) => [...liveIncarnations].some(prefix => request.startsWith(prefix))),
 	};
 };
--- a/packages/bench/src/histories/upstream.ts
+++ b/packages/bench/src/histories/upstream.ts
@@ -28,7 +28,7 @@
 			events.push({
 				kind: 'ran', at: clock.now(), ...booking, body,
 			});
-			await clock.sleep(random.below(maxRunTimeMs));
+			await clock.sleep(random.nextInt(maxRunTimeMs));
 			return {kind: 'finished', body};
 		},
 	};
--- a/packages/bench/src/overhead/index.ts
+++ b/packages/bench/src/overhead/index.ts
@@ -1,5 +1,5 @@
 import {defineCommand} from 'citty';
-import {getTable} from '@gentianlift/trial';
+import {formatTable} from '@gentianlift/trial';
 import {getMedian} from './figures.js';
 import {measureLatency, type AddedLatency, type LatencyMeasurement} from './latency.js';
 import {measureSlowCallers, type SlowCallerMeasurement} from './memory.js';
@@ -37,7 +37,7 @@
 const printLatency = (streams: number, runs: LatencyMeasurement[]): void => {
 	const head = [`${streams} streams`, 'first p50', 'first p99', 'whole p50', 'whole p99'];
 	const rows = [formatAddedRow('relay', runs.map(({relay}) => relay)), formatAddedRow('router', runs.map(({router}) => router))];
-	console.log(`\nAdded milliseconds, median of ${runs.length} runs\n${getTable([head, ...rows])}`);
+	console.log(`\nAdded milliseconds, median of ${runs.length} runs\n${formatTable([head, ...rows])}`);
 	console.log(`failures: ${runs.reduce((sum, {failures}) => sum + failures, 0)}`);
 };
 
--- a/packages/bench/src/overhead/rig.ts
+++ b/packages/bench/src/overhead/rig.ts
@@ -2,7 +2,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {createSystemClock} from '@gentianlift/clock';
-import {createHostList, createKeyValue, createWeightStore} from '@gentianlift/fakes';
+import {createFakeHostList, createFakeKeyValue, createFakeWeightStore} from '@gentianlift/fakes';
 import {
 	findPorts, getFleetSettings, isReady, publishConfiguration, startRouter, type RunningRouter,
 } from '@gentianlift/trial';
@@ -61,7 +61,7 @@
 	const engines = await startEngines(options);
 	const addresses = engines.map(engine => parseAddress(engine));
 	const relay = await startScript('bench/dist/overhead/relay-main.js', [addresses.join(',')]);
-	const [keyValue, hostList, weightStore] = await Promise.all([createKeyValue(), createHostList(), createWeightStore()]);
+	const [keyValue, hostList, weightStore] = await Promise.all([createFakeKeyValue(), createFakeHostList(), createFakeWeightStore()]);
 	publishConfiguration(keyValue, createBenchConfiguration(addresses, options.slots), clock.now());
 	const [settings] = getFleetSettings({
 		zones: ['zone-a'], keyValueUrl: keyValue.listener.url, hostListUrl: hostList.listener.url, weightStoreUrl: weightStore.listener.url, ports: await findPorts(portsPerRouter),
--- a/packages/bench/src/policy/run.ts
+++ b/packages/bench/src/policy/run.ts
@@ -116,8 +116,8 @@
 		hosts: run.hosts,
 		hour: simulatedHour,
 		settings: {order: run.order, without: run.without},
-		change: removeCustomerLimits,
-		engine: run.faults === 'straggler-and-crash' ? {reportLag} : {},
+		transformConfiguration: removeCustomerLimits,
+		engine: run.faults === 'straggler-and-crash' ? {reportDelay: reportLag} : {},
 	});
 	await deployment.clock.sleep(warmUp);
 	const arrivals = createArrivals(run, deployment.configuration);
@@ -127,7 +127,7 @@
 	});
 	const counters = await readCounters(deployment.routers.map(({settings}) => settings.operatorAddress));
 	const report = getReport({
-		records, configuration: deployment.configuration, standins: deployment, time: rulesTime,
+		records, configuration: deployment.configuration, fakes: deployment, time: rulesTime,
 	});
 	const {configuration} = deployment;
 	const exits = await deployment.stop();
--- a/packages/bench/src/policy/summary.ts
+++ b/packages/bench/src/policy/summary.ts
@@ -37,7 +37,7 @@
 		if (chatClasses.has(entry.className)) {
 			attained += entry.attainment * entry.sent;
 			wastedTokens += entry.wasted;
-			generatedTokens += entry.wastedShare === 0 ? countCompletedTokens(records, entry.className) : entry.wasted / entry.wastedShare;
+			generatedTokens += entry.wastedFraction === 0 ? countCompletedTokens(records, entry.className) : entry.wasted / entry.wastedFraction;
 		}
 	}
 
@@ -50,7 +50,7 @@
 		floorGrants: sumCounters(counters, 'grants_past_higher', 'by="floor"'),
 		yields: sumCounters(counters, 'yields'),
 		wrong,
-		duplicatedBookings: report.doubled,
+		duplicatedBookings: report.duplicateBookings,
 		messagesPerRequest: sumCounters(counters, 'grant_messages') / Math.max(1, records.length),
 		bytesPerRequest: sumCounters(counters, 'grant_bytes') / Math.max(1, records.length),
 	};
--- a/packages/claims/src/commands/claim-client.test.ts
+++ b/packages/claims/src/commands/claim-client.test.ts
@@ -4,7 +4,7 @@
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import type {ClaimRequest, PeerCalls} from '@gentianlift/types';
 import {
-	createBookingId, createClaimClient, createClaimOwner, claimLimits,
+	appendSlotToRequestId, createClaimClient, createClaimStore, claimLimits,
 } from '../index.js';
 
 const start = Date.UTC(2026, 0, 1);
@@ -22,7 +22,7 @@
 		const shared = {
 			clock, random: createRandom(seed), metrics: createMetrics(), keyValue, isGone: (name: string) => gone.has(name),
 		};
-		const owner = createClaimOwner(shared);
+		const owner = createClaimStore(shared);
 		const peers: Pick<PeerCalls, 'claim' | 'settleClaim'> = {
 			async claim(to, message) {
 				return down.has(to) ? {kind: 'unreachable', reason: 'down'} : {kind: 'answered', answer: await owners[to]!.claim(host, message)};
@@ -33,7 +33,7 @@
 		};
 		return {
 			owner, client: createClaimClient({
-				...shared, self: host, peers, getOwner, owner,
+				...shared, self: host, peers, getOwner, claimStore: owner,
 			}),
 		};
 	};
@@ -82,7 +82,7 @@
 
 	test(`a claim whose write reply is lost starts once, ${kind} key`, async () => {
 		const {a, b, keyValue, runUntilSettled} = createFleet();
-		keyValue.failWrites('lost-reply');
+		keyValue.injectWriteFaults('lost-reply');
 		expect(await runUntilSettled(a.claim(createRequest('a', 1, key)))).toMatchObject({kind: 'start'});
 		expect(await runUntilSettled(b.claim(createRequest('b', 1, key)))).toMatchObject({kind: 'in-progress'});
 	});
@@ -91,13 +91,13 @@
 test('a withdrawn request never starts and frees its key', async () => {
 	const {a, b, keyValue, runUntilSettled, clock} = createFleet();
 	keyValue.setFaults({
-		chances: {
+		probabilities: {
 			'lost-reply': 0, late: 0, dropped: 1, refused: 0,
 		},
 	});
 	expect(await runUntilSettled(a.claim(createRequest('a', 1)))).toMatchObject({kind: 'unavailable', undetermined: true});
 	keyValue.setFaults({
-		chances: {
+		probabilities: {
 			'lost-reply': 0, late: 0, dropped: 0, refused: 0,
 		},
 	});
@@ -133,7 +133,7 @@
 test('waits until the request in progress has ended', async () => {
 	const {a, b, runUntilSettled, clock} = createFleet(() => 'a');
 	await runUntilSettled(a.claim(createRequest('a', 1)));
-	const decision = b.join(createRequest('b', 1), 5000);
+	const decision = b.claimOrWait(createRequest('b', 1), 5000);
 	await clock.advance(500);
 	a.settle({key: createRequest('a', 1).key, request: 'a.1.1', outcome: {kind: 'finished', status: 200}});
 	expect(await runUntilSettled(decision)).toMatchObject({kind: 'done'});
@@ -149,7 +149,7 @@
 test('finds a claim by its request id', async () => {
 	const {a, b, runUntilSettled} = createFleet();
 	const request = createRequest('a', 1);
-	const id = createBookingId(request.request, request.key);
+	const id = appendSlotToRequestId(request.request, request.key);
 	await runUntilSettled(a.claim({...request, request: id}));
 	expect(await runUntilSettled(b.readClaimByRequestId(id))).toMatchObject({kind: 'found', claim: {customer: 'kopi'}});
 });
@@ -160,7 +160,7 @@
 	const requests = Array.from({length: 640}, (_, index) => createRequest('a', index, createTimedKey(start, index)));
 	const decisions = await runUntilSettled(Promise.all(requests.map(async request => a.claim(request))));
 	expect(decisions.every(({kind}) => kind === 'start')).toBe(true);
-	expect(keyValue.getCalls().writes).toBeLessThan(100);
+	expect(keyValue.getCallCounts().writes).toBeLessThan(100);
 });
 
 test('an owner with an outdated cached slot still stores a settlement', async () => {
@@ -169,13 +169,13 @@
 	const {key} = createRequest('a', 1);
 	owner = 'b';
 	keyValue.setFaults({
-		chances: {
+		probabilities: {
 			'lost-reply': 0, late: 0, dropped: 0, refused: 1,
 		},
 	});
 	expect(await runUntilSettled(b.claim(createRequest('b', 1)))).toMatchObject({kind: 'unavailable', undetermined: false});
 	keyValue.setFaults({
-		chances: {
+		probabilities: {
 			'lost-reply': 0, late: 0, dropped: 0, refused: 0,
 		},
 	});
--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -6,7 +6,7 @@
 import {readClaim, readClaimByRequestId, type ClaimRead} from '../queries/read-claim.js';
 import {claimLimits, type ClaimLimits} from '../slots/limits.js';
 import {getOwnerKey, getSlot} from '../slots/slot.js';
-import {createClaimOwner, type ClaimOwner} from './claim-store.js';
+import {createClaimStore, type ClaimStore} from './claim-store.js';
 import {createSettlementQueue} from './settlement-queue.js';
 
 /** Dependencies and options of a claim client. */
@@ -20,7 +20,7 @@
 	/** Returns the host that batches the writes of a slot; undefined when none is known. */
 	getOwner: (ownerKey: string) => HostId | undefined;
 	/** This host's store for claims, whose slot writer the client uses too; created if absent. */
-	owner?: ClaimOwner;
+	claimStore?: ClaimStore;
 	/** Whether the incarnation of a host is known to have ended; false while that is uncertain. */
 	isGone?: (host: HostId, incarnation: Incarnation) => boolean;
 	limits?: ClaimLimits;
@@ -31,7 +31,7 @@
 	/** Claims the key of a request. Only the decision `start` allows sending the request to an upstream, and only once per request id. */
 	claim: (request: ClaimRequest) => Promise<ClaimDecision>;
 	/** Claims the key of a request; while another request with the key is in progress, waits up to `limit` for its outcome. */
-	join: (request: ClaimRequest, limit: Milliseconds) => Promise<ClaimDecision>;
+	claimOrWait: (request: ClaimRequest, limit: Milliseconds) => Promise<ClaimDecision>;
 	/**
 	Stores the outcome of a request in the background, retrying until the key-value service has stored it.
 	The outcome `not-run` is allowed only if the request was never written to an upstream or the upstream refused it, and the request must not be sent afterwards.
@@ -68,7 +68,7 @@
 	};
 };
 
-type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimOwner; limits: ClaimLimits};
+type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimStore; limits: ClaimLimits};
 
 /** Sends claims and settlements to the owner of their slot; if it gives no answer, this host stores them itself. */
 const createClaimSender = ({
@@ -110,8 +110,8 @@
 
 /** Creates the claim client of a host. */
 export const createClaimClient = (options: ClaimClientOptions): ClaimClient => {
-	const {clock, random, metrics, limits = options.owner?.limits ?? claimLimits} = options;
-	const owner = options.owner ?? createClaimOwner({...options, limits});
+	const {clock, random, metrics, limits = options.claimStore?.limits ?? claimLimits} = options;
+	const owner = options.claimStore ?? createClaimStore({...options, limits});
 	const sender = createClaimSender({...options, owner, limits});
 	const settlements = createSettlementQueue({
 		clock, random, metrics, send: sender.settle,
@@ -139,7 +139,7 @@
 
 	return {
 		claim,
-		async join(request, limit) {
+		async claimOrWait(request, limit) {
 			const deadline = clock.monotonic() + limit;
 			let delay = pollDelay.initial;
 			for (;;) {
--- a/packages/claims/src/commands/claim-removal.test.ts
+++ b/packages/claims/src/commands/claim-removal.test.ts
@@ -3,7 +3,7 @@
 import {createMetrics} from '@gentianlift/metrics';
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import type {KeyValueService} from '@gentianlift/types';
-import {createClaimOwner, createClaimRemoval, claimLimits} from '../index.js';
+import {createClaimStore, createClaimRemoval, claimLimits} from '../index.js';
 
 const start = Date.UTC(2026, 0, 1);
 const hour = 3_600_000;
@@ -23,8 +23,8 @@
 	return {
 		clock,
 		keyValue,
-		owner: createClaimOwner({...shared, clock}),
-		laggingOwner: createClaimOwner({...shared, clock: laggingClock}),
+		owner: createClaimStore({...shared, clock}),
+		laggingOwner: createClaimStore({...shared, clock: laggingClock}),
 		removal: createClaimRemoval({
 			...shared, clock, self: 'a', getOwner: () => 'a',
 		}),
@@ -56,8 +56,8 @@
 	expect(await countSlots(keyValue)).toBe(0);
 	expect(await owner.claim('b', {...request, request: 'b.1.1'})).toEqual({kind: 'expired'});
 	expect(await laggingOwner.claim('b', {...request, request: 'b.1.2'})).toEqual({kind: 'expired'});
-	await clock.advance(limits.writeInterval);
+	await clock.advance(limits.minWriteInterval);
 	expect(await laggingOwner.claim('b', {...request, request: 'b.1.3'})).toEqual({kind: 'expired'});
-	await clock.advance(limits.writeInterval);
+	await clock.advance(limits.minWriteInterval);
 	expect(await countSlots(keyValue)).toBe(0);
 });
--- a/packages/claims/src/commands/claim-store.ts
+++ b/packages/claims/src/commands/claim-store.ts
@@ -9,7 +9,7 @@
 import {getSlot} from '../slots/slot.js';
 
 /** Dependencies and options of a store for claims. */
-export type ClaimOwnerOptions = {
+export type ClaimStoreOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
@@ -20,7 +20,7 @@
 };
 
 /** Stores claims in slots on this host, whether or not the host owns the slot. Any host may write any slot; sending the claims of all hosts to the slot's owner lets it batch their writes. */
-export type ClaimOwner = {
+export type ClaimStore = {
 	/** Decides on a claim, and stores it if the request may start. */
 	claim: (from: HostId, request: ClaimRequest) => Promise<ClaimDecision>;
 	/** Stores a settlement. Never rejects; `retry` is set when the write to the key-value service failed. */
@@ -30,7 +30,7 @@
 };
 
 /** Creates the store for claims of a host. */
-export const createClaimOwner = (options: ClaimOwnerOptions): ClaimOwner => {
+export const createClaimStore = (options: ClaimStoreOptions): ClaimStore => {
 	const {
 		clock, random, metrics, keyValue, limits = claimLimits, isGone = () => false,
 	} = options;
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,5 +1,5 @@
 export {createClaimClient, type ClaimClient, type ClaimClientOptions} from './commands/claim-client.js';
-export {createClaimOwner, type ClaimOwner, type ClaimOwnerOptions} from './commands/claim-store.js';
+export {createClaimStore, type ClaimStore, type ClaimStoreOptions} from './commands/claim-store.js';
 export {createClaimRemoval, type ClaimRemoval, type ClaimRemovalOptions} from './commands/claim-removal.js';
 export type {AccountEvent} from './queries/account-event.js';
 export {createAccounts, type Accounts, type AccountsOptions} from './queries/accounts.js';
@@ -7,4 +7,4 @@
 export type {ClaimRead} from './queries/read-claim.js';
 export {getKeyTimestamp} from './slots/key-timestamp.js';
 export {claimLimits, type ClaimLimits} from './slots/limits.js';
-export {createBookingId} from './slots/slot.js';
+export {appendSlotToRequestId} from './slots/slot.js';
--- a/packages/claims/src/slots/limits.ts
+++ b/packages/claims/src/slots/limits.ts
@@ -21,7 +21,7 @@
 	/** Maximum total length of the stored response bodies of a slot, in characters. */
 	maxBodyLengthPerSlot: number;
 	/** Minimum time between two writes of a slot by the same host. */
-	writeInterval: Milliseconds;
+	minWriteInterval: Milliseconds;
 	/** Maximum time for storing a claim. */
 	claimTimeout: Milliseconds;
 	/** Maximum time for trying once to store a settlement. */
@@ -42,7 +42,7 @@
 	maxDetailedClaims: 200,
 	maxBodyLength: 4096,
 	maxBodyLengthPerSlot: 128 * 1024,
-	writeInterval: 100,
+	minWriteInterval: 100,
 	claimTimeout: 2 * second,
 	settleTimeout: 2 * second,
 };
--- a/packages/claims/src/slots/slot-writer.ts
+++ b/packages/claims/src/slots/slot-writer.ts
@@ -45,7 +45,7 @@
 	const getQueue = (slot: Slot): SlotQueue => {
 		const key = getSlotKey(slot);
 		const queue = queues.get(key) ?? {
-			slot, lastWriteAt: -limits.writeInterval, pending: [], isRunning: false, isUnaccessed: true,
+			slot, lastWriteAt: -limits.minWriteInterval, pending: [], isRunning: false, isUnaccessed: true,
 		};
 		queues.delete(key);
 		queues.set(key, queue);
@@ -53,7 +53,7 @@
 	};
 
 	const waitForWriteInterval = async (queue: SlotQueue): Promise<void> => {
-		const wait = queue.lastWriteAt + limits.writeInterval - clock.monotonic();
+		const wait = queue.lastWriteAt + limits.minWriteInterval - clock.monotonic();
 		if (wait > 0) {
 			await clock.sleep(wait);
 		}
--- a/packages/claims/src/slots/slot.ts
+++ b/packages/claims/src/slots/slot.ts
@@ -52,7 +52,7 @@
 export const getBucketEnd = (bucket: number, limits: ClaimLimits): Milliseconds => (bucket + 1) * limits.bucketDuration;
 
 /** Creates the id of a non-idempotent request from a plain id by appending the slot, so that any host can find the claim by the id. */
-export const createBookingId = (id: RequestId, key: ClaimKey, limits: ClaimLimits = claimLimits): RequestId => {
+export const appendSlotToRequestId = (id: RequestId, key: ClaimKey, limits: ClaimLimits = claimLimits): RequestId => {
 	const slot = getSlot(key, limits);
 	switch (slot.kind) {
 		case 'timed': {
--- a/packages/cli/src/queries/check.ts
+++ b/packages/cli/src/queries/check.ts
@@ -1,4 +1,4 @@
-import {isVersionDocument, parseConfiguration, type Parsed} from '@gentianlift/config';
+import {isVersionDocument, parseConfiguration, type ParseResult} from '@gentianlift/config';
 import type {Configuration} from '@gentianlift/types';
 import {createInvalidFileFailure, createSuccess, type Result} from '../result.js';
 import type {Session} from '../session.js';
@@ -23,7 +23,7 @@
 	}
 
 	const {document, base} = unwrapVersion(read.document);
-	const parsed: Parsed<Configuration> = parseConfiguration(document);
+	const parsed: ParseResult<Configuration> = parseConfiguration(document);
 	if (parsed.kind === 'invalid') {
 		return {kind: 'failed', result: createInvalidFileFailure(file, parsed.faults)};
 	}
--- a/packages/cli/src/queries/configuration.ts
+++ b/packages/cli/src/queries/configuration.ts
@@ -1,6 +1,6 @@
 import {formatChange, getDifference} from '@gentianlift/config';
 import {
-	readCurrentVersion, readHistory, readVersion, type VersionReading,
+	readCurrentVersion, readHistory, readVersion, type VersionReadOutcome,
 } from '@gentianlift/distribution';
 import type {ConfigurationVersion} from '@gentianlift/types';
 import {exitCodes} from '../exit-codes.js';
@@ -10,7 +10,7 @@
 import {readConfigurationFile} from './check.js';
 
 /** Creates the result of a command that could not read a version. */
-export const createReadFailure = (reading: Exclude<VersionReading, {kind: 'found'}>, name: string): Result => {
+export const createReadFailure = (reading: Exclude<VersionReadOutcome, {kind: 'found'}>, name: string): Result => {
 	switch (reading.kind) {
 		case 'absent': {
 			return createFailure(exitCodes.failed, `There is no ${name}.`);
--- a/packages/cli/src/run.test.ts
+++ b/packages/cli/src/run.test.ts
@@ -94,7 +94,7 @@
 	environment.service.setFaults({outage: true});
 	expect(await run('config publish kopi.json')).toMatchObject({exitCode: exitCodes.unavailable, errors: expect.stringContaining('Not published') as string});
 	environment.service.setFaults({
-		outage: false, chances: {
+		outage: false, probabilities: {
 			dropped: 1, late: 0, refused: 0, 'lost-reply': 0,
 		},
 	});
--- a/packages/cli/src/session.ts
+++ b/packages/cli/src/session.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@gentianlift/clock';
-import {formatDiagnostic, parseJson, type Parsed} from '@gentianlift/config';
+import {formatDiagnostic, parseJson, type ParseResult} from '@gentianlift/config';
 import type {KeyValueService} from '@gentianlift/types';
 import type {Environment} from './environment.js';
 import {exitCodes} from './exit-codes.js';
@@ -38,7 +38,7 @@
 };
 
 /** Opens a session from the flags, the environment variables and the settings file. */
-export const openSession = async (environment: Environment, flags: TargetFlags): Promise<Parsed<Session>> => {
+export const openSession = async (environment: Environment, flags: TargetFlags): Promise<ParseResult<Session>> => {
 	const {variables, clock, createToken, createKeyValue, callOperator} = environment;
 	const path = flags.settings ?? variables.GENTIANLIFT_SETTINGS;
 	const text = path === undefined ? undefined : await environment.readFile(path);
--- a/packages/cli/src/targets.ts
+++ b/packages/cli/src/targets.ts
@@ -1,5 +1,5 @@
 import {
-	parseJson, type Diagnostic, type Parsed,
+	parseJson, type Diagnostic, type ParseResult,
 } from '@gentianlift/config';
 import type {Address, HostId} from '@gentianlift/types';
 import {z} from 'zod';
@@ -21,7 +21,7 @@
 const getDiagnostics = (error: z.ZodError): Diagnostic[] =>
 	error.issues.map(({path, message}) => ({path: ['$', ...path].join('.'), found: 'another value', expected: message}));
 
-const parseTargets = (text: string): Parsed<Targets> => {
+const parseTargets = (text: string): ParseResult<Targets> => {
 	const document = parseJson(text);
 	if (document.kind === 'invalid') {
 		return document;
@@ -39,8 +39,8 @@
 };
 
 /** Merges the targets of the settings file, the environment variables and the flags. */
-export const mergeTargets = (fileText: string | undefined, flags: TargetFlags, environment: Record<string, string | undefined>): Parsed<Targets> => {
-	const file: Parsed<Targets> = fileText === undefined ? {kind: 'valid', value: {operators: []}} : parseTargets(fileText);
+export const mergeTargets = (fileText: string | undefined, flags: TargetFlags, environment: Record<string, string | undefined>): ParseResult<Targets> => {
+	const file: ParseResult<Targets> = fileText === undefined ? {kind: 'valid', value: {operators: []}} : parseTargets(fileText);
 	if (file.kind === 'invalid') {
 		return file;
 	}
--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -5,7 +5,7 @@
 	/** Returns a uniform number in [0, 1). */
 	next: () => number;
 	/** Returns a uniform integer in [0, `bound`). */
-	below: (bound: number) => number;
+	nextInt: (bound: number) => number;
 	/** Returns a uniformly chosen item; undefined if there are none. */
 	pick: <Item>(items: readonly Item[]) => Item | undefined;
 };
@@ -21,7 +21,7 @@
 	const below = (bound: number): number => Math.floor(next() * bound);
 	return {
 		next,
-		below,
+		nextInt: below,
 		pick: items => items[below(items.length)],
 	};
 };
--- a/packages/config/src/configuration-schema.ts
+++ b/packages/config/src/configuration-schema.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {engineRoles, fencingKinds, type Configuration} from '@gentianlift/types';
+import {engineRoles, fencingSupports, type Configuration} from '@gentianlift/types';
 import {
 	addressField, countField, durationField, fractionField, nameField, timeZoneField,
 } from './fields.js';
@@ -17,7 +17,7 @@
 	role: z.enum(engineRoles).default('mixed'),
 	accelerators: countField.default(1),
 	slots: countField,
-	fencing: z.enum(fencingKinds),
+	fencing: z.enum(fencingSupports),
 });
 
 const modelSchema = z.strictObject({name: nameField, bytes: countField, contextTokens: countField});
--- a/packages/config/src/diagnostic.ts
+++ b/packages/config/src/diagnostic.ts
@@ -9,7 +9,7 @@
 };
 
 /** Result of parsing a document: the value, or all validation errors of the document. */
-export type Parsed<Value>
+export type ParseResult<Value>
 	= | {kind: 'valid'; value: Value}
 		| {kind: 'invalid'; faults: Diagnostic[]};
 
--- a/packages/config/src/examples.test.ts
+++ b/packages/config/src/examples.test.ts
@@ -1,7 +1,7 @@
 import {readFileSync} from 'node:fs';
 import type {Configuration} from '@gentianlift/types';
 import {expect, test} from 'vitest';
-import {findCustomer, parseConfiguration} from './index.js';
+import {findCustomerByKey, parseConfiguration} from './index.js';
 
 const readExample = (name: string): unknown =>
 	JSON.parse(readFileSync(new URL(`../../../examples/${name}.json`, import.meta.url), 'utf8'));
@@ -25,7 +25,7 @@
 test.each(['kopi', 'alfoldi'])('each customer of the %s example is found by its test key', name => {
 	const configuration = getExample(name);
 	const found = keys.filter(({deployment}) => deployment === name)
-		.map(({customer, key}) => [customer, findCustomer(configuration, key)?.id]);
+		.map(({customer, key}) => [customer, findCustomerByKey(configuration, key)?.id]);
 	expect(found).toEqual(configuration.inventory.customers.map(({id}) => [id, id]));
-	expect(findCustomer(configuration, 'another key')).toBeUndefined();
+	expect(findCustomerByKey(configuration, 'another key')).toBeUndefined();
 });
--- a/packages/config/src/keys.ts
+++ b/packages/config/src/keys.ts
@@ -32,7 +32,7 @@
 Finds the customer that a key belongs to; undefined if there is none.
 Only digests are compared, and the final comparison takes constant time, so that response times reveal nothing about valid keys.
 */
-export const findCustomer = (configuration: Configuration, key: string): Customer | undefined => {
+export const findCustomerByKey = (configuration: Configuration, key: string): Customer | undefined => {
 	const digest = getKeyDigest(key);
 	const owner = getKeyOwners(configuration).get(digest);
 	return owner !== undefined && timingSafeEqual(owner.digest, Buffer.from(digest, 'hex')) ? owner.customer : undefined;
--- a/packages/config/src/parse-configuration.ts
+++ b/packages/config/src/parse-configuration.ts
@@ -6,7 +6,7 @@
 	checkClasses, checkHours, checkMatches, checkTargets,
 } from './check-rules.js';
 import {configurationSchema, sectionSchemas, type Section} from './configuration-schema.js';
-import type {Diagnostic, Parsed} from './diagnostic.js';
+import type {Diagnostic, ParseResult} from './diagnostic.js';
 import {readDocument} from './read-document.js';
 import {checkFloors, checkTiers, sortTiers} from './tiers.js';
 
@@ -61,7 +61,7 @@
 });
 
 /** Parses the operators' configuration, fills in defaults and sorts its tiers, the highest first. */
-export const parseConfiguration = (document: unknown): Parsed<Configuration> => {
+export const parseConfiguration = (document: unknown): ParseResult<Configuration> => {
 	const {value, faults} = readDocument(configurationSchema, document);
 	const sections = value === undefined ? parseSections(document) : {...value.inventory, ...value.rules};
 	const diagnostics = [...faults, ...checkSections(sections)];
--- a/packages/config/src/parse-settings.ts
+++ b/packages/config/src/parse-settings.ts
@@ -1,5 +1,5 @@
 import type {Settings} from '@gentianlift/types';
-import {createDiagnostic, type Diagnostic, type Parsed} from './diagnostic.js';
+import {createDiagnostic, type Diagnostic, type ParseResult} from './diagnostic.js';
 import {findDuplicates} from './duplicates.js';
 import {readDocument} from './read-document.js';
 import {settingsSchema} from './settings-schema.js';
@@ -16,7 +16,7 @@
 };
 
 /** Parses the settings of a router process and fills in defaults. */
-export const parseSettings = (document: unknown): Parsed<Settings> => {
+export const parseSettings = (document: unknown): ParseResult<Settings> => {
 	const {value, faults} = readDocument(settingsSchema, document);
 	if (value === undefined) {
 		return {kind: 'invalid', faults};
@@ -27,7 +27,7 @@
 };
 
 /** Parses JSON text. Invalid JSON gives a single diagnostic at the root. */
-export const parseJson = (text: string): Parsed<unknown> => {
+export const parseJson = (text: string): ParseResult<unknown> => {
 	try {
 		return {kind: 'valid', value: JSON.parse(text) as unknown};
 	} catch (error) {
--- a/packages/config/src/parse-version.ts
+++ b/packages/config/src/parse-version.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
-import type {Parsed} from './diagnostic.js';
+import type {ParseResult} from './diagnostic.js';
 import {parseConfiguration} from './parse-configuration.js';
 import {parseJson} from './parse-settings.js';
 import {readDocument} from './read-document.js';
 
 /** Parser of a configuration document; tests replace it by a simpler one. */
-export type ConfigurationParser = (document: unknown) => Parsed<Configuration>;
+export type ConfigurationParser = (document: unknown) => ParseResult<Configuration>;
 
 const versionSchema = z.strictObject({
 	version: z.int().positive(),
@@ -18,7 +18,7 @@
 });
 
 /** Parses an accepted version and its configuration. */
-export const parseVersion = (document: unknown, parse: ConfigurationParser = parseConfiguration): Parsed<ConfigurationVersion> => {
+export const parseVersion = (document: unknown, parse: ConfigurationParser = parseConfiguration): ParseResult<ConfigurationVersion> => {
 	const {value, faults} = readDocument(versionSchema, document);
 	if (value === undefined) {
 		return {kind: 'invalid', faults};
@@ -29,7 +29,7 @@
 };
 
 /** Parses the text of an accepted version as it is stored in the key-value service. */
-export const parseVersionText = (text: string, parse: ConfigurationParser = parseConfiguration): Parsed<ConfigurationVersion> => {
+export const parseVersionText = (text: string, parse: ConfigurationParser = parseConfiguration): ParseResult<ConfigurationVersion> => {
 	const document = parseJson(text);
 	return document.kind === 'valid' ? parseVersion(document.value, parse) : document;
 };
--- a/packages/distribution/src/active-version.ts
+++ b/packages/distribution/src/active-version.ts
@@ -1,5 +1,5 @@
 import {
-	parseVersion, parseVersionText, type ConfigurationParser, type Parsed,
+	parseVersion, parseVersionText, type ConfigurationParser, type ParseResult,
 } from '@gentianlift/config';
 import type {Metrics} from '@gentianlift/metrics';
 import type {ConfigurationVersion, Entry, Milliseconds} from '@gentianlift/types';
@@ -29,7 +29,7 @@
 };
 
 /** A parsed version that may become active; `claimedVersion` is the number that it states, also if it is invalid. */
-type Candidate = {parsed: Parsed<ConfigurationVersion>; claimedVersion: number; source: VersionSource; confirmedAt: Milliseconds | undefined};
+type Candidate = {parsed: ParseResult<ConfigurationVersion>; claimedVersion: number; source: VersionSource; confirmedAt: Milliseconds | undefined};
 
 /** Returns the version number that an unvalidated text states; 0 if it states none. */
 const getClaimedVersion = (text: string): number => {
--- a/packages/distribution/src/bootstrap.ts
+++ b/packages/distribution/src/bootstrap.ts
@@ -1,5 +1,5 @@
 import type {Random} from '@gentianlift/clock';
-import type {ConfigurationAnswer, HostId, Member} from '@gentianlift/types';
+import type {ConfigurationResponse, HostId, Member} from '@gentianlift/types';
 import type {ActiveVersion} from './active-version.js';
 import {chooseBootstrapPeers} from './peer-choice.js';
 import {applyPeerResult, type PeerReader, type PeerReadResult} from './peer-reader.js';
@@ -22,10 +22,10 @@
 /** Maximum number of hosts that a starting host calls at once. */
 const maxPeers = 16;
 
-const getAnsweredVersion = ({answer: {newest, version}}: {answer: ConfigurationAnswer}): number => newest?.version ?? version ?? 0;
+const getAnsweredVersion = ({answer: {newest, version}}: {answer: ConfigurationResponse}): number => newest?.version ?? version ?? 0;
 
 /** Returns the answer with the highest version, if a majority of the called hosts answered and no higher version is advertised. */
-export const chooseReading = (results: PeerReadResult[], highestAdvertisedVersion: number): PeerReadResult | undefined => {
+export const choosePeerResult = (results: PeerReadResult[], highestAdvertisedVersion: number): PeerReadResult | undefined => {
 	const answered = results.filter(result => result.kind === 'answered');
 	const best = answered.toSorted((a, b) => getAnsweredVersion(b) - getAnsweredVersion(a))[0];
 	const isMajority = answered.length * 2 > results.length;
@@ -36,7 +36,7 @@
 	const {random, activeVersion, readPeer, getPeers, getOwners, getHighestAdvertisedVersion} = options;
 	const hosts = chooseBootstrapPeers(getPeers(), getOwners(), random, maxPeers);
 	const results = await Promise.all(hosts.map(async host => readPeer(host)));
-	const chosen = chooseReading(results, getHighestAdvertisedVersion());
+	const chosen = choosePeerResult(results, getHighestAdvertisedVersion());
 	if (chosen === undefined) {
 		return false;
 	}
--- a/packages/distribution/src/fake-fleet.ts
+++ b/packages/distribution/src/fake-fleet.ts
@@ -1,5 +1,5 @@
 import {createManualClock, createRandom, type Clock} from '@gentianlift/clock';
-import type {Parsed} from '@gentianlift/config';
+import type {ParseResult} from '@gentianlift/config';
 import {createMetrics} from '@gentianlift/metrics';
 import {createMemoryKeyValue, type MemoryKeyValue} from '@gentianlift/platform';
 import type {
@@ -14,7 +14,7 @@
 /** A host of a fake fleet. A partitioned host reaches neither peers nor the key-value service. */
 export type FakeHost = {follower: ConfigurationFollower; isPartitioned: boolean; metrics: ReturnType<typeof createMetrics>};
 
-const parse = (document: unknown): Parsed<Configuration> =>
+const parse = (document: unknown): ParseResult<Configuration> =>
 	document === 'bad' ? {kind: 'invalid', faults: []} : {kind: 'valid', value: document as Configuration};
 
 const createMember = (host: string, incarnation: number, configurationVersion: number): Member => ({
@@ -48,7 +48,7 @@
 const createFakePeerCalls = ({clock, random, hosts}: FleetParts, self: string): Pick<PeerCalls, 'readConfiguration'> => ({
 	async readConfiguration(to, message) {
 		const peer = hosts.get(to);
-		await clock.sleep(1 + random.below(20));
+		await clock.sleep(1 + random.nextInt(20));
 		if (peer === undefined || peer.isPartitioned || hosts.get(self)?.isPartitioned) {
 			return {kind: 'unreachable', reason: 'partitioned'};
 		}
@@ -104,7 +104,7 @@
 
 	for (const [to, host] of hosts) {
 		for (const name of hostNames.filter(other => other !== to && !host.isPartitioned)) {
-			host.follower.applyRumour(name, advertised.get(name) ?? 0);
+			host.follower.recordAdvertisedVersion(name, advertised.get(name) ?? 0);
 		}
 	}
 };
--- a/packages/distribution/src/follower-state.ts
+++ b/packages/distribution/src/follower-state.ts
@@ -7,14 +7,14 @@
 	/** Monotonic time at which `current` was last known to be the newest accepted version. */
 	confirmedAt?: Milliseconds;
 	/** Highest version number that failed validation on this host; 0 if there was none. */
-	refused: number;
+	highestInvalidVersion: number;
 };
 
 /** Order of a version relative to the active one; `split` is a version with the same number and another token. */
 export type VersionOrder = 'newer' | 'same' | 'older' | 'split';
 
 /** Creates the state of a host without a version. */
-export const createFollowerState = (): FollowerState => ({refused: 0});
+export const createFollowerState = (): FollowerState => ({highestInvalidVersion: 0});
 
 /** Returns the number of the active version; 0 if there is none. */
 export const getVersionNumber = ({current}: FollowerState): number => current?.version ?? 0;
@@ -62,7 +62,7 @@
 
 /** Records that a version failed validation on this host, so that it isn't fetched repeatedly. */
 export const recordInvalidVersion = (state: FollowerState, version: number): FollowerState =>
-	({...state, refused: Math.max(state.refused, version)});
+	({...state, highestInvalidVersion: Math.max(state.highestInvalidVersion, version)});
 
 /** Whether a version is newer than the active one and than any that failed validation on this host. */
-export const isCandidateVersion = (state: FollowerState, version: number): boolean => version > getVersionNumber(state) && version > state.refused;
+export const isCandidateVersion = (state: FollowerState, version: number): boolean => version > getVersionNumber(state) && version > state.highestInvalidVersion;
--- a/packages/distribution/src/follower.test.ts
+++ b/packages/distribution/src/follower.test.ts
@@ -46,9 +46,9 @@
 
 test.each([2, 7, 40])('reads the service at a rate that does not depend on the number of hosts, here %i', async size => {
 	const {clock, service} = await startFleet(size);
-	const before = service.getCalls();
+	const before = service.getCallCounts();
 	await clock.advance(120_000);
-	const after = service.getCalls();
+	const after = service.getCallCounts();
 	expect((after.reads - before.reads) / 120).toBeLessThan(2);
 	expect((after.watches - before.watches) / 120).toBeLessThan(1);
 });
@@ -59,7 +59,7 @@
 	await clock.advance(10_000);
 	expect(getVersions()).toEqual([1, 1, 1]);
 	await clock.advance(60_000);
-	expect(hosts.get('h1')?.follower.getStanding()).toBe('unconfirmed');
+	expect(hosts.get('h1')?.follower.getStatus()).toBe('unconfirmed');
 	await writeVersion(service, 3, 'third');
 	await clock.advance(3000);
 	expect(getVersions()).toEqual([3, 3, 3]);
@@ -80,9 +80,9 @@
 	const host = fleet.startHost('h2');
 	await fleet.clock.advance(2000);
 	expect(host.follower.getCurrent()?.version).toBe(1);
-	expect(host.follower.getStanding()).toBe('confirmed');
+	expect(host.follower.getStatus()).toBe('confirmed');
 	await fleet.clock.advance(60_000);
-	expect(host.follower.getStanding()).toBe('unconfirmed');
+	expect(host.follower.getStatus()).toBe('unconfirmed');
 });
 
 test('a restarted host rejects a version from peers that is lower than one advertised before the outage', async () => {
@@ -98,7 +98,7 @@
 	const restarted = fleet.startHost('h0');
 	fleet.hosts.get('h2')!.isPartitioned = false;
 	await fleet.clock.advance(5000);
-	expect(restarted.follower.getStanding()).toBe('none');
+	expect(restarted.follower.getStatus()).toBe('none');
 	fleet.service.setFaults({outage: false});
 	await fleet.clock.advance(10_000);
 	expect(fleet.getVersions()).toEqual([2, 2, 2]);
@@ -109,10 +109,10 @@
 	const host = fleet.hosts.get('h2')!;
 	host.isPartitioned = true;
 	await fleet.clock.advance(9000);
-	expect(host.follower.getStanding()).toBe('isolated');
+	expect(host.follower.getStatus()).toBe('isolated');
 	host.isPartitioned = false;
 	await fleet.clock.advance(10_000);
-	expect(host.follower.getStanding()).toBe('confirmed');
+	expect(host.follower.getStatus()).toBe('confirmed');
 });
 
 /** A random step of a test; `pick` selects the host and, times 150 ms, the wait after the step. */
--- a/packages/distribution/src/follower.ts
+++ b/packages/distribution/src/follower.ts
@@ -1,5 +1,5 @@
 import type {
-	ConfigurationAnswer, ConfigurationVersion, HostId, Milliseconds,
+	ConfigurationResponse, ConfigurationVersion, HostId, Milliseconds,
 } from '@gentianlift/types';
 import {createActiveVersion, type ChangeListener, type ActiveVersion} from './active-version.js';
 import {bootstrap} from './bootstrap.js';
@@ -34,13 +34,13 @@
 	/** Registers a listener for each version that becomes active from now on. */
 	onChange: (listener: ChangeListener) => void;
 	/** Records that a host advertises a version, and fetches it if it is newer than the active one. */
-	applyRumour: (host: HostId, version: number) => void;
+	recordAdvertisedVersion: (host: HostId, version: number) => void;
 	/** Whether the active version was known to be the newest within the maximum confirmation age. */
 	isConfirmed: () => boolean;
 	/** Returns the present status. */
-	getStanding: () => FollowerStatus;
+	getStatus: () => FollowerStatus;
 	/** Answers a peer's request for a version newer than `after`. */
-	readConfiguration: (from: HostId, message: {after: number}) => Promise<ConfigurationAnswer>;
+	readConfiguration: (from: HostId, message: {after: number}) => Promise<ConfigurationResponse>;
 };
 
 /** Number of hosts that watch the key-value service. */
@@ -48,9 +48,9 @@
 /** Factor by which the delay between attempts to obtain a first version grows. */
 const backoffFactor = 2;
 
-const createAnswer = (activeVersion: ActiveVersion, after: number, now: Milliseconds): ConfigurationAnswer => {
+const createAnswer = (activeVersion: ActiveVersion, after: number, now: Milliseconds): ConfigurationResponse => {
 	const {current, confirmedAt} = activeVersion.getState();
-	const answer: ConfigurationAnswer = {};
+	const answer: ConfigurationResponse = {};
 	if (current !== undefined) {
 		answer.version = current.version;
 	}
@@ -203,13 +203,13 @@
 		},
 		getCurrent: () => activeVersion.getState().current,
 		onChange: activeVersion.onChange,
-		applyRumour(host, version) {
+		recordAdvertisedVersion(host, version) {
 			if (isStarted && host !== self) {
 				versionFetcher.requestVersion(host, version);
 			}
 		},
 		isConfirmed,
-		getStanding: getStatus,
+		getStatus,
 		readConfiguration: async (_from, {after}) => createAnswer(activeVersion, after, clock.monotonic()),
 	};
 };
--- a/packages/distribution/src/index.ts
+++ b/packages/distribution/src/index.ts
@@ -5,4 +5,4 @@
 export * from './publish-state.js';
 export * from './store.js';
 export * from './store-keys.js';
-export {chooseReading} from './bootstrap.js';
+export {choosePeerResult} from './bootstrap.js';
--- a/packages/distribution/src/peer-reader.ts
+++ b/packages/distribution/src/peer-reader.ts
@@ -1,12 +1,12 @@
 import type {Clock} from '@gentianlift/clock';
-import type {ConfigurationAnswer, HostId, PeerCalls} from '@gentianlift/types';
+import type {ConfigurationResponse, HostId, PeerCalls} from '@gentianlift/types';
 import type {ActiveVersion} from './active-version.js';
 import {getVersionNumber} from './follower-state.js';
 import type {LastContact} from './last-contact.js';
 import {unpackVersion} from './pack.js';
 
 /** A peer's answer, or the failure to get one. `confirmedAt` is when the answered version was last known to be the newest. */
-export type PeerReadResult = {kind: 'answered'; answer: ConfigurationAnswer; confirmedAt: number | undefined} | {kind: 'failed'};
+export type PeerReadResult = {kind: 'answered'; answer: ConfigurationResponse; confirmedAt: number | undefined} | {kind: 'failed'};
 
 /** Reads the version of a peer without applying it. */
 export type PeerReader = (host: HostId) => Promise<PeerReadResult>;
@@ -19,7 +19,7 @@
 	lastContact: LastContact;
 };
 
-const unpackAnswer = ({packed, ...answer}: ConfigurationAnswer): ConfigurationAnswer => {
+const unpackAnswer = ({packed, ...answer}: ConfigurationResponse): ConfigurationResponse => {
 	const newest = packed === undefined ? answer.newest : unpackVersion(packed);
 	return newest === undefined ? answer : {...answer, newest};
 };
--- a/packages/distribution/src/publish.test.ts
+++ b/packages/distribution/src/publish.test.ts
@@ -1,5 +1,5 @@
 import {createManualClock, createRandom} from '@gentianlift/clock';
-import type {Parsed} from '@gentianlift/config';
+import type {ParseResult} from '@gentianlift/config';
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 import fc from 'fast-check';
@@ -8,7 +8,7 @@
 	currentVersionKey, publishConfiguration, readHistory, readVersion, updateHistory, type PublishOutcome,
 } from './index.js';
 
-const parse = (document: unknown): Parsed<Configuration> =>
+const parse = (document: unknown): ParseResult<Configuration> =>
 	document === 'bad' ? {kind: 'invalid', faults: []} : {kind: 'valid', value: document as Configuration};
 
 const createService = (seed = 1) => {
@@ -25,7 +25,7 @@
 		return outcome;
 	};
 
-	const getAccepted = (): ConfigurationVersion[] => service.getHistory()
+	const getAccepted = (): ConfigurationVersion[] => service.getAppliedWrites()
 		.filter(({key}) => key === currentVersionKey)
 		.map(({value}) => JSON.parse(value!) as ConfigurationVersion);
 	return {
@@ -47,7 +47,7 @@
 test('rejects an invalid configuration without writing to the service', async () => {
 	const {service, publishAndWait} = createService();
 	expect(await publishAndWait('bad', 0)).toMatchObject({kind: 'invalid'});
-	expect(service.getCalls().writes).toBe(0);
+	expect(service.getCallCounts().writes).toBe(0);
 });
 
 test('reports a conflict with the difference to another operator\'s version', async () => {
@@ -60,21 +60,21 @@
 
 test('resolves a write whose reply was lost', async () => {
 	const {service, publishAndWait, getAccepted} = createService();
-	service.failWrites('lost-reply');
+	service.injectWriteFaults('lost-reply');
 	expect(await publishAndWait('a', 0)).toMatchObject({kind: 'applied', version: {token: 'token-1'}});
 	expect(getAccepted()).toHaveLength(1);
 });
 
 test('resolves a write that takes effect late', async () => {
 	const {service, publishAndWait, getAccepted} = createService();
-	service.failWrites('late');
+	service.injectWriteFaults('late');
 	expect(await publishAndWait('a', 0)).toMatchObject({kind: 'applied'});
 	expect(getAccepted()).toHaveLength(1);
 });
 
 test('finds its accepted write in the history after another operator published a newer version', async () => {
 	const {clock, service, publish, getAccepted} = createService();
-	service.failWrites('lost-reply');
+	service.injectWriteFaults('lost-reply');
 	const first = publish('a', 0);
 	await clock.advance(0);
 	const second = publish('b', 1);
@@ -106,7 +106,7 @@
 	service.setFaults({outage: true});
 	expect(await publishAndWait('a', 0)).toEqual({kind: 'unavailable', reason: 'outage'});
 	service.setFaults({
-		outage: false, chances: {
+		outage: false, probabilities: {
 			'lost-reply': 0, late: 0, dropped: 1, refused: 0,
 		},
 	});
@@ -153,7 +153,7 @@
 test('reports an outcome to each operator that matches the accepted versions under faults', async () => {
 	await fc.assert(fc.asyncProperty(fc.integer(), chances, fc.array(fc.tuple(fc.nat(3000), fc.nat(4)), {maxLength: 8}), async (seed, faults, schedule) => {
 		const {clock, service, publish, getAccepted} = createService(seed);
-		service.setFaults({chances: faults, lateLimit: 4000});
+		service.setFaults({probabilities: faults, maxLateDelay: 4000});
 		const outcomes = new Map<string, Promise<PublishOutcome>>();
 		for (const [index, [wait, baseChoice]] of schedule.entries()) {
 			const newest = getAccepted().at(-1)?.version ?? 0;
--- a/packages/distribution/src/publish.ts
+++ b/packages/distribution/src/publish.ts
@@ -8,7 +8,7 @@
 import {getPublishStep, type ObservedVersions, type Publication} from './publish-state.js';
 import {currentVersionKey, getHistoryKey} from './store-keys.js';
 import {
-	readCurrentVersion, readVersion, type StoredVersion, type VersionReading,
+	readCurrentVersion, readVersion, type StoredVersion, type VersionReadOutcome,
 } from './store.js';
 
 /** Dependencies and options of `publishConfiguration`. */
@@ -126,7 +126,7 @@
 };
 
 /** Reads the current version and, in parallel because each call may be slow, whether the history holds the base version. */
-const readCurrentAndBase = async (attempt: PublishAttempt): Promise<VersionReading> => {
+const readCurrentAndBase = async (attempt: PublishAttempt): Promise<VersionReadOutcome> => {
 	const {options: {keyValue}, publication: {base}} = attempt;
 	const [current, history] = await Promise.all([
 		readCurrentVersion(keyValue),
--- a/packages/distribution/src/store.ts
+++ b/packages/distribution/src/store.ts
@@ -8,7 +8,7 @@
 export type StoredVersion = {revision: number; text: string; version: ConfigurationVersion};
 
 /** Outcome of reading an accepted version. */
-export type VersionReading
+export type VersionReadOutcome
 	= | {kind: 'found'; stored: StoredVersion}
 		| {kind: 'absent'}
 		| {kind: 'unavailable'; reason: string};
@@ -17,7 +17,7 @@
 const skipValidation = (document: unknown) => ({kind: 'valid', value: document as Configuration} as const);
 
 /** Parses an entry of the key-value service as an accepted version. */
-const parseEntry = ({key, value, revision}: Entry): VersionReading => {
+const parseEntry = ({key, value, revision}: Entry): VersionReadOutcome => {
 	const parsed = parseVersionText(value, skipValidation);
 	if (parsed.kind === 'valid') {
 		return {kind: 'found', stored: {revision, text: value, version: parsed.value}};
@@ -27,17 +27,17 @@
 	return {kind: 'unavailable', reason: `${key} holds no accepted version: ${diagnostics.join('; ')}`};
 };
 
-const readVersionAt = async (keyValue: Pick<KeyValueService, 'read'>, key: string): Promise<VersionReading> => {
+const readVersionAt = async (keyValue: Pick<KeyValueService, 'read'>, key: string): Promise<VersionReadOutcome> => {
 	const outcome = await keyValue.read(key);
 	return outcome.kind === 'found' ? parseEntry(outcome.entry) : outcome;
 };
 
 /** Reads the newest accepted version. */
-export const readCurrentVersion = async (keyValue: Pick<KeyValueService, 'read'>): Promise<VersionReading> =>
+export const readCurrentVersion = async (keyValue: Pick<KeyValueService, 'read'>): Promise<VersionReadOutcome> =>
 	readVersionAt(keyValue, currentVersionKey);
 
 /** Reads an accepted version by its number, the newest or one of the history. */
-export const readVersion = async (keyValue: Pick<KeyValueService, 'read'>, version: number): Promise<VersionReading> => {
+export const readVersion = async (keyValue: Pick<KeyValueService, 'read'>, version: number): Promise<VersionReadOutcome> => {
 	const current = await readCurrentVersion(keyValue);
 	if (current.kind !== 'found' || current.stored.version.version === version) {
 		return current;
@@ -47,7 +47,7 @@
 };
 
 /** Reads up to `count` of the newest versions, the newest first. Versions that were removed from the history are left out. */
-export const readHistory = async (keyValue: Pick<KeyValueService, 'read'>, count: number): Promise<VersionReading[]> => {
+export const readHistory = async (keyValue: Pick<KeyValueService, 'read'>, count: number): Promise<VersionReadOutcome[]> => {
 	const current = await readCurrentVersion(keyValue);
 	if (current.kind !== 'found') {
 		return current.kind === 'absent' ? [] : [current];
--- a/packages/errors/src/errors.test.ts
+++ b/packages/errors/src/errors.test.ts
@@ -1,7 +1,7 @@
 import {readFileSync} from 'node:fs';
 import {expect, test} from 'vitest';
 import {
-	createFailure, errorKinds, errorTable, getErrorBody, getFailure,
+	createFailure, errorKinds, errorTable, getErrorBody, toRequestFailure,
 } from './index.js';
 
 test('the body states whether the request ran and rounds the retry time up to seconds', () => {
@@ -10,7 +10,7 @@
 });
 
 test('an unexpected error becomes an internal failure', () => {
-	expect(getFailure(new Error('x')).kind).toBe('internal');
+	expect(toRequestFailure(new Error('x')).kind).toBe('internal');
 });
 
 test('every kind has an error status, so that no request that has not run looks successful', () => {
--- a/packages/errors/src/request-error.ts
+++ b/packages/errors/src/request-error.ts
@@ -37,5 +37,5 @@
 export const isRequestFailure = (thrown: unknown): thrown is RequestFailure => thrown instanceof RequestError;
 
 /** Returns a thrown value if it is a request failure, and otherwise an `internal` failure with the value as its cause. */
-export const getFailure = (thrown: unknown): RequestFailure =>
+export const toRequestFailure = (thrown: unknown): RequestFailure =>
 	isRequestFailure(thrown) ? thrown : createFailure('internal', {cause: thrown});
--- a/packages/fakes/src/engine/answer.ts
+++ b/packages/fakes/src/engine/answer.ts
@@ -37,7 +37,7 @@
 };
 
 /** Computes the answer to a prompt. `#tokens=N` in the prompt sets its length; otherwise the length is sampled with a seed derived from the prompt. */
-export const getAnswer = (prompt: Prompt, meanTokens: number): Answer => {
+export const computeAnswer = (prompt: Prompt, meanTokens: number): Answer => {
 	const text = getPromptText(prompt);
 	const digest = createHash('sha256').update(text).digest();
 	const requestedLength = lengthPattern.exec(text)?.groups?.count;
--- a/packages/fakes/src/engine/engine.test.ts
+++ b/packages/fakes/src/engine/engine.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {
-	createEngine, getAnswer, getAnswerText, type EngineOptions,
+	createFakeEngine, computeAnswer, getAnswerText, type EngineOptions,
 } from './index.js';
 
 const fastOptions: EngineOptions = {models: ['chat'], timeFactor: 50};
@@ -19,18 +19,18 @@
 };
 
 test('streams one event per token and ends with DONE', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	const answer = await postChat(engine.listener.url, {...getPrompt('bar #tokens=5'), stream: true});
 	const deltas = await readDeltas(answer);
 	await engine.close();
-	expect(deltas.join('')).toBe(getAnswerText(getAnswer(getPrompt('bar #tokens=5'), 1), 5));
+	expect(deltas.join('')).toBe(getAnswerText(computeAnswer(getPrompt('bar #tokens=5'), 1), 5));
 	expect(deltas).toHaveLength(5);
 });
 
 test('resumes an answer without gaps or repeated tokens', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	const prompt = getPrompt('coil #tokens=8');
-	const answer = getAnswer(prompt, 1);
+	const answer = computeAnswer(prompt, 1);
 	const resume = {text: getAnswerText(answer, 3), tokens: 3};
 	const deltas = await readDeltas(await postChat(engine.listener.url, {...prompt, stream: true, resume}));
 	await engine.close();
@@ -38,14 +38,14 @@
 });
 
 test('rejects a resume whose text does not match the answer', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	const answer = await postChat(engine.listener.url, {...getPrompt('coil #tokens=8'), resume: {text: 'else', tokens: 1}});
 	await engine.close();
 	expect(answer.status).toBe(400);
 });
 
 test('rejects as not run while leaving and for a model that is not loaded', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	const other = await postChat(engine.listener.url, {...getPrompt('x'), model: 'other'});
 	engine.faults.leaving = true;
 	const leaving = await postChat(engine.listener.url, getPrompt('x'));
@@ -55,7 +55,7 @@
 });
 
 test('cancels by request id', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	const answer = await postChat(engine.listener.url, {...getPrompt('#tokens=100000'), stream: true}, {'x-request-id': 'a.1.1'});
 	const cancelled = await fetch(`${engine.listener.url}/v1/generations/a.1.1`, {method: 'DELETE'});
 	await expect(answer.text()).rejects.toThrow();
@@ -64,7 +64,7 @@
 });
 
 test('crashes on a matching prompt and restarts', async () => {
-	const engine = await createEngine(fastOptions);
+	const engine = await createFakeEngine(fastOptions);
 	engine.faults.crashOnPrompt = 'poison';
 	engine.faults.restartAfterMs = 1;
 	await expect(postChat(engine.listener.url, getPrompt('poison #tokens=3'))).rejects.toThrow();
@@ -77,8 +77,8 @@
 	const sendOrder = async (url: string, fencingNumber: number) => fetch(`${url}/v1/orders`, {
 		method: 'POST', body: JSON.stringify({id: `o${fencingNumber}`, fencingNumber, order: {kind: 'load', model: 'm2'}}),
 	}).then(({status}) => status);
-	const checked = await createEngine(fastOptions);
-	const ignored = await createEngine({...fastOptions, fencing: 'ignored'});
+	const checked = await createFakeEngine(fastOptions);
+	const ignored = await createFakeEngine({...fastOptions, fencing: 'ignored'});
 	expect([await sendOrder(checked.listener.url, 2), await sendOrder(checked.listener.url, 1)]).toEqual([200, 409]);
 	expect([await sendOrder(ignored.listener.url, 2), await sendOrder(ignored.listener.url, 1)]).toEqual([200, 200]);
 	expect(checked.getState().holdings.models).toContain('m2');
@@ -86,7 +86,7 @@
 });
 
 test('a crash does not start queued generations', async () => {
-	const engine = await createEngine({...fastOptions, slots: 1});
+	const engine = await createFakeEngine({...fastOptions, slots: 1});
 	const running = postChat(engine.listener.url, {...getPrompt('a #tokens=100000'), stream: true});
 	const waiting = postChat(engine.listener.url, {...getPrompt('b #tokens=100000'), stream: true});
 	await expect.poll(() => [engine.getState().running, engine.getState().waiting]).toEqual([1, 1]);
--- a/packages/fakes/src/engine/engine.ts
+++ b/packages/fakes/src/engine/engine.ts
@@ -1,4 +1,4 @@
-import type {FencedOrder, LoadReport, Milliseconds} from '@gentianlift/types';
+import type {FencedOrder, EngineLoadReport, Milliseconds} from '@gentianlift/types';
 import {
 	createListener, readJson, sendEmpty, sendJson, type Exchange, type Listener,
 } from '../listener.js';
@@ -8,7 +8,7 @@
 import {createGenerations} from './generations.js';
 import {createDelayedLoadReports} from './delayed-load-reports.js';
 import {createEngineRandom, getEngineSettings, type EngineOptions} from './options.js';
-import {createOrders} from './orders.js';
+import {createOrderExecutor} from './orders.js';
 
 /** Running fake of a model engine. */
 export type FakeEngine = {
@@ -29,13 +29,13 @@
 	const {clock} = settings;
 	const batch = createBatch({...settings, getSlowFactor: () => faults.slowFactor ?? 1});
 	const cache = createPrefixCache({
-		maxChunks: settings.cacheChunks, eventDelay: settings.eventDelay, eventLossProbability: settings.eventLoss, clock, random,
+		maxChunks: settings.cacheChunks, eventDelay: settings.eventDelay, eventLossProbability: settings.eventLossProbability, clock, random,
 	});
-	const orders = createOrders(settings);
+	const orders = createOrderExecutor(settings);
 	const generations = createGenerations({
 		settings, batch, cache, holdings: orders.holdings, faults,
 	});
-	const getReport = (): LoadReport => ({
+	const getReport = (): EngineLoadReport => ({
 		at: clock.now(),
 		running: batch.countRunning(),
 		waiting: batch.countWaiting(),
@@ -46,7 +46,7 @@
 		role: orders.holdings.role,
 		leaving: faults.leaving ?? false,
 	});
-	const reports = createDelayedLoadReports(clock, settings.reportLag, getReport);
+	const reports = createDelayedLoadReports(clock, settings.reportDelay, getReport);
 	const getState = () => ({
 		...generations.getCounts(),
 		running: batch.countRunning(),
@@ -129,7 +129,7 @@
 };
 
 /** Starts a fake model engine. */
-export const createEngine = async (options: EngineOptions = {}): Promise<FakeEngine> => {
+export const createFakeEngine = async (options: EngineOptions = {}): Promise<FakeEngine> => {
 	const faults: Faults = {};
 	const components = createEngineComponents(options, faults);
 	const {settings} = components;
--- a/packages/fakes/src/engine/generations.ts
+++ b/packages/fakes/src/engine/generations.ts
@@ -2,7 +2,7 @@
 import type {Milliseconds} from '@gentianlift/types';
 import type {Faults} from '../faults.js';
 import {readJson, sendJson, type Exchange} from '../listener.js';
-import {getAnswer, getAnswerText} from './answer.js';
+import {computeAnswer, getAnswerText} from './answer.js';
 import type {Batch} from './batch.js';
 import type {PrefixCache} from './prefix-cache.js';
 import {
@@ -140,7 +140,7 @@
 			return true;
 		}
 
-		const answer = getAnswer(body, settings.meanTokens);
+		const answer = computeAnswer(body, settings.meanTokens);
 		return getAnswerText(answer, body.resume.tokens) === body.resume.text;
 	};
 
--- a/packages/fakes/src/engine/live-generation.ts
+++ b/packages/fakes/src/engine/live-generation.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import type {Exchange} from '../listener.js';
-import {getAnswer, type Answer, type Prompt} from './answer.js';
+import {computeAnswer, type Answer, type Prompt} from './answer.js';
 import {createAnswerStream, type AnswerStream} from './answer-stream.js';
 import type {Generation} from './batch.js';
 
@@ -44,7 +44,7 @@
 type GenerationContext = LiveGenerationOptions & {answer: Answer; prefix: string[]; resumedTokens: number; cachedTokens: number};
 
 const createContext = (options: LiveGenerationOptions): GenerationContext => {
-	const answer = getAnswer(options.body, options.meanTokens);
+	const answer = computeAnswer(options.body, options.meanTokens);
 	const prefix = getHeader(options.exchange, 'x-prefix').split(',').filter(chunk => chunk !== '');
 	const cachedFraction = prefix.length === 0 ? 0 : options.countCached(prefix) / prefix.length;
 	return {
--- a/packages/fakes/src/engine/options.ts
+++ b/packages/fakes/src/engine/options.ts
@@ -21,11 +21,11 @@
 	/** Capacity of the prefix cache, in chunks. */
 	cacheChunks: number;
 	/** Delay until a load report is visible. */
-	reportLag: Milliseconds;
+	reportDelay: Milliseconds;
 	/** Delay until a cache event is visible. */
 	eventDelay: Milliseconds;
 	/** Probability that a cache event is lost, from 0 to 1. */
-	eventLoss: number;
+	eventLossProbability: number;
 	/** Whether orders with a stale fencing number are rejected. */
 	fencing: 'checked' | 'ignored';
 	weightStoreUrl: string | undefined;
@@ -52,9 +52,9 @@
 	meanTokens: 120,
 	cacheTokens: 200_000,
 	cacheChunks: 2000,
-	reportLag: 500,
+	reportDelay: 500,
 	eventDelay: 300,
-	eventLoss: 0.05,
+	eventLossProbability: 0.05,
 	fencing: 'checked',
 	weightStoreUrl: undefined,
 	bytes: {},
--- a/packages/fakes/src/engine/orders.ts
+++ b/packages/fakes/src/engine/orders.ts
@@ -17,7 +17,7 @@
 export type OrderAnswer = {status: number; body: unknown};
 
 /** Executes the placement orders that an engine receives. */
-export type Orders = {
+export type OrderExecutor = {
 	holdings: Holdings;
 	records: OrderRecord[];
 	/** Executes an order once per id; rejects it if its fencing number is lower than one seen before, unless fencing numbers are ignored. */
@@ -37,7 +37,7 @@
 const defaultWeightBytes = 1e9;
 
 /** Creates the component of an engine that executes orders. */
-export const createOrders = (settings: EngineSettings): Orders => {
+export const createOrderExecutor = (settings: EngineSettings): OrderExecutor => {
 	const holdings: Holdings = {models: new Set(settings.models), adapters: new Set(settings.adapters), role: settings.role};
 	const records: OrderRecord[] = [];
 	const knownOrderIds = new Set<string>();
--- a/packages/fakes/src/host-list.ts
+++ b/packages/fakes/src/host-list.ts
@@ -25,7 +25,7 @@
 const defaultChangeDelay: Milliseconds = 1000;
 
 /** Starts a fake host list. */
-export const createHostList = async (options: HostListOptions = {}): Promise<FakeHostList> => {
+export const createFakeHostList = async (options: HostListOptions = {}): Promise<FakeHostList> => {
 	const clock = options.clock ?? createSystemClock();
 	const faults: Faults = {};
 	let hosts = options.hosts ?? [];
--- a/packages/fakes/src/key-value/key-value.test.ts
+++ b/packages/fakes/src/key-value/key-value.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {createManualClock} from '@gentianlift/clock';
-import {createKeyValue, createStore} from './index.js';
+import {createFakeKeyValue, createStore} from './index.js';
 
 test('compare-and-swap rejects a stale revision', () => {
 	const store = createStore(createManualClock());
@@ -26,7 +26,7 @@
 });
 
 test('a write whose reply is lost is applied, one whose request is lost is not', async () => {
-	const keyValue = await createKeyValue();
+	const keyValue = await createFakeKeyValue();
 	const write = async (key: string) => fetch(`${keyValue.listener.url}/v1/kv/${key}`, {
 		method: 'PUT', body: JSON.stringify({value: 'x', expected: 0}),
 	});
@@ -39,14 +39,14 @@
 });
 
 test('rejects calls beyond the rate limit', async () => {
-	const keyValue = await createKeyValue({readsPerSecond: 1, clock: {...createManualClock(), sleep: async () => undefined}});
+	const keyValue = await createFakeKeyValue({readsPerSecond: 1, clock: {...createManualClock(), sleep: async () => undefined}});
 	const read = async () => fetch(`${keyValue.listener.url}/v1/kv/a`).then(({status}) => status);
 	expect([await read(), await read()]).toEqual([404, 429]);
 	await keyValue.close();
 });
 
 test('a watch answers with the change, or 204 at its time limit', async () => {
-	const keyValue = await createKeyValue();
+	const keyValue = await createFakeKeyValue();
 	const watch = async (limit: number) => fetch(`${keyValue.listener.url}/v1/watch/a?after=0&limit=${limit}`);
 	const unchanged = await watch(1);
 	expect(unchanged.status).toBe(204);
--- a/packages/fakes/src/key-value/key-value.ts
+++ b/packages/fakes/src/key-value/key-value.ts
@@ -168,7 +168,7 @@
 };
 
 /** Starts a fake key-value service. */
-export const createKeyValue = async (options: KeyValueOptions = {}): Promise<FakeKeyValue> => {
+export const createFakeKeyValue = async (options: KeyValueOptions = {}): Promise<FakeKeyValue> => {
 	const clock = options.clock ?? createSystemClock();
 	const store = createStore(clock);
 	const counts: KeyValueCounts = {
--- a/packages/fakes/src/main.ts
+++ b/packages/fakes/src/main.ts
@@ -1,11 +1,11 @@
 import process from 'node:process';
 import {defineCommand, runMain} from 'citty';
-import {createEngine} from './engine/index.js';
-import {createHostList} from './host-list.js';
-import {createKeyValue} from './key-value/index.js';
+import {createFakeEngine} from './engine/index.js';
+import {createFakeHostList} from './host-list.js';
+import {createFakeKeyValue} from './key-value/index.js';
 import type {Listener} from './listener.js';
-import {createService} from './service.js';
-import {createWeightStore} from './weight-store.js';
+import {createFakeService} from './service.js';
+import {createFakeWeightStore} from './weight-store.js';
 
 type RunningFake = {listener: Listener; close: () => Promise<void>};
 
@@ -39,7 +39,7 @@
 		timeFactor: {type: 'string', description: 'Speed of the engine against the clock', default: '1'},
 		seed: {type: 'string', description: 'Seed of random choices', default: '1'},
 	},
-	run: async ({args}) => runUntilTerminated(await createEngine({
+	run: async ({args}) => runUntilTerminated(await createFakeEngine({
 		port: Number(args.port),
 		models: splitList(args.models),
 		adapters: splitList(args.adapters),
@@ -62,7 +62,7 @@
 		time: {type: 'string', description: 'Milliseconds of one call', default: '80'},
 		slots: {type: 'string', description: 'Calls at once', default: '8'},
 	},
-	run: async ({args}) => runUntilTerminated(await createService({
+	run: async ({args}) => runUntilTerminated(await createFakeService({
 		port: Number(args.port), serviceTime: Number(args.time), slots: Number(args.slots),
 	})),
 });
@@ -74,7 +74,7 @@
 		writes: {type: 'string', description: 'Writes a second', default: '400'},
 		reads: {type: 'string', description: 'Reads a second', default: '2000'},
 	},
-	run: async ({args}) => runUntilTerminated(await createKeyValue({
+	run: async ({args}) => runUntilTerminated(await createFakeKeyValue({
 		port: Number(args.port), writesPerSecond: Number(args.writes), readsPerSecond: Number(args.reads),
 	})),
 });
@@ -82,13 +82,13 @@
 const hostList = defineCommand({
 	meta: {name: 'host-list', description: 'Host list'},
 	args: {port, lag: {type: 'string', description: 'Milliseconds until a change is shown', default: '1000'}},
-	run: async ({args}) => runUntilTerminated(await createHostList({port: Number(args.port), changeDelay: Number(args.lag)})),
+	run: async ({args}) => runUntilTerminated(await createFakeHostList({port: Number(args.port), changeDelay: Number(args.lag)})),
 });
 
 const weightStore = defineCommand({
 	meta: {name: 'weight-store', description: 'Weight store'},
 	args: {port, rate: {type: 'string', description: 'Bytes a second that all loads share', default: '2000000000'}},
-	run: async ({args}) => runUntilTerminated(await createWeightStore({port: Number(args.port), bytesPerSecond: Number(args.rate)})),
+	run: async ({args}) => runUntilTerminated(await createFakeWeightStore({port: Number(args.port), bytesPerSecond: Number(args.rate)})),
 });
 
 const main = defineCommand({
--- a/packages/fakes/src/service.ts
+++ b/packages/fakes/src/service.ts
@@ -72,7 +72,7 @@
 };
 
 /** Starts a fake application service. */
-export const createService = async (options: ServiceOptions = {}): Promise<FakeService> => {
+export const createFakeService = async (options: ServiceOptions = {}): Promise<FakeService> => {
 	const clock = options.clock ?? createSystemClock();
 	const slots = options.slots ?? defaultSlots;
 	const faults: Faults = {};
--- a/packages/fakes/src/weight-store.ts
+++ b/packages/fakes/src/weight-store.ts
@@ -51,7 +51,7 @@
 };
 
 /** Starts a fake weight store. */
-export const createWeightStore = async (options: WeightStoreOptions = {}): Promise<FakeWeightStore> => {
+export const createFakeWeightStore = async (options: WeightStoreOptions = {}): Promise<FakeWeightStore> => {
 	const clock = options.clock ?? createSystemClock();
 	const bytesPerSecond = options.bytesPerSecond ?? defaultBytesPerSecond;
 	const faults: Faults = {};
--- a/packages/forwarder/src/start-host.ts
+++ b/packages/forwarder/src/start-host.ts
@@ -153,7 +153,7 @@
 		get addressTtl() {
 			return addressListTtl;
 		},
-		getMetricsPage: context.metrics.getPage,
+		getMetricsPage: context.metrics.renderPrometheusText,
 		reload(next) {
 			shutdown.gracePeriod = next.gracePeriod;
 			addressListTtl = Math.min(next.addressTtl, maxAddressListTtl);
--- a/packages/logger/src/buffered-output.test.ts
+++ b/packages/logger/src/buffered-output.test.ts
@@ -4,7 +4,7 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {expect, onTestFinished, test} from 'vitest';
-import {createOutput} from './buffered-output.js';
+import {createBufferedOutput} from './buffered-output.js';
 
 const openLogFile = (): {path: string; file: number} => {
 	const path = join(mkdtempSync(join(tmpdir(), 'log-')), 'out');
@@ -17,7 +17,7 @@
 
 test('writes buffered lines in order', async () => {
 	const {path, file} = openLogFile();
-	const output = createOutput({fileDescriptor: file, now: () => 0});
+	const output = createBufferedOutput({fileDescriptor: file, now: () => 0});
 	output.write('a\n');
 	output.write('b\n');
 	await expect.poll(() => readFileSync(path, 'utf8')).toBe('a\nb\n');
@@ -25,7 +25,7 @@
 
 test('drops lines beyond the buffer capacity and logs how many were dropped', () => {
 	const {path, file} = openLogFile();
-	const output = createOutput({fileDescriptor: file, now: () => 0});
+	const output = createBufferedOutput({fileDescriptor: file, now: () => 0});
 	const line = `${'x'.repeat(400 * 1024)}\n`;
 	output.write(line);
 	output.write(line);
--- a/packages/logger/src/buffered-output.ts
+++ b/packages/logger/src/buffered-output.ts
@@ -27,7 +27,7 @@
 const pipeFullCode = 'EAGAIN';
 
 /** Creates an output with an empty buffer. */
-export const createOutput = ({fileDescriptor = standardOutputDescriptor, now}: BufferedOutputOptions): BufferedOutput => {
+export const createBufferedOutput = ({fileDescriptor = standardOutputDescriptor, now}: BufferedOutputOptions): BufferedOutput => {
 	let buffered = '';
 	let droppedLines = 0;
 	let isWriting = false;
--- a/packages/membership/src/host-answer.ts
+++ b/packages/membership/src/host-answer.ts
@@ -1,6 +1,6 @@
 import type {Random} from '@gentianlift/clock';
 import type {
-	HostAnswer, HostState, Member, Milliseconds, Zone,
+	HostListResponse, HostState, Member, Milliseconds, Zone,
 } from '@gentianlift/types';
 
 /** Maximum number of hosts in one answer. */
@@ -42,7 +42,7 @@
 Builds the host list for a caller: hosts of its availability zone first, each with a weight.
 Draining and gone hosts are left out unless no other is known. With `random`, the hosts of a fleet larger than one answer are a random sample.
 */
-export const getHostAnswer = (members: Member[], callerZone: Zone | undefined, timeToLive: Milliseconds, random?: Random): HostAnswer => {
+export const getHostListResponse = (members: Member[], callerZone: Zone | undefined, timeToLive: Milliseconds, random?: Random): HostListResponse => {
 	const candidates = getCandidates(members);
 	const shuffled = random === undefined ? candidates : shuffleMembers(candidates, random);
 	const sorted = shuffled.toSorted((first, second) => getSortRank(first, callerZone) - getSortRank(second, callerZone));
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -172,18 +172,18 @@
 
 test('an announcement reaches all hosts, including one that joins later, and expires', async () => {
 	const {clock, fleet} = await startFleet(7);
-	fleet.getMembership('h4').publishNote({
+	fleet.getMembership('h4').publishAnnouncement({
 		topic: 'upstream-failed', key: 'e1', value: 'reset', duration: 20_000,
 	});
 	await clock.advance(2000);
 	await fleet.start('h7');
 	await clock.advance(3000);
 	for (const host of fleet.getRunningHosts()) {
-		expect(fleet.getMembership(host).getNotes('upstream-failed'), host).toMatchObject([{key: 'e1', value: 'reset', host: 'h4'}]);
+		expect(fleet.getMembership(host).getAnnouncements('upstream-failed'), host).toMatchObject([{key: 'e1', value: 'reset', host: 'h4'}]);
 	}
 
 	await clock.advance(20_000);
-	expect(fleet.getMembership('h0').getNotes('upstream-failed')).toEqual([]);
+	expect(fleet.getMembership('h0').getAnnouncements('upstream-failed')).toEqual([]);
 });
 
 test('replayed, corrupted and too short datagrams are counted and dropped', async () => {
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,9 +1,9 @@
 import type {Cancel, Clock, Random} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
-	HostList, Member, Note, NoteTopic, Settings,
+	HostList, Member, Announcement, AnnouncementTopic, Settings,
 } from '@gentianlift/types';
-import {createAnnouncementChannel, type AnnouncementChannel, type NoteContent} from './protocol/announcement-channel.js';
+import {createAnnouncementChannel, type AnnouncementChannel, type AnnouncementContent} from './protocol/announcement-channel.js';
 import {createPacketSender} from './protocol/packet-sender.js';
 import {createProtocolPeriod, type ProtocolPeriod} from './protocol/protocol-period.js';
 import {createProber} from './protocol/prober.js';
@@ -33,10 +33,10 @@
 	/** Sets how loaded this host is, from 0 to 1. */
 	setLoad: (load: number) => void;
 	/** Publishes an announcement to all hosts; returns false when it is too long. */
-	publishNote: (content: NoteContent) => boolean;
+	publishAnnouncement: (content: AnnouncementContent) => boolean;
 	/** Calls the listener for each new announcement, those of this host included. */
-	onNote: (listener: (announcement: Note) => void) => Cancel;
-	getNotes: (topic: NoteTopic) => Note[];
+	onAnnouncement: (listener: (announcement: Announcement) => void) => Cancel;
+	getAnnouncements: (topic: AnnouncementTopic) => Announcement[];
 };
 
 /** Dependencies and options of the membership. */
@@ -151,12 +151,12 @@
 				view.updateSelf({load: clampedLoad}, false);
 			}
 		},
-		publishNote(content) {
+		publishAnnouncement(content) {
 			const isPublished = announcementChannel.publish(content);
 			disseminator.sendUrgentGossip();
 			return isPublished;
 		},
-		onNote: announcementChannel.onAnnouncement,
-		getNotes: announcementChannel.getByTopic,
+		onAnnouncement: announcementChannel.onAnnouncement,
+		getAnnouncements: announcementChannel.getByTopic,
 	};
 };
--- a/packages/membership/src/ownership.test.ts
+++ b/packages/membership/src/ownership.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {Member} from '@gentianlift/types';
 import {
-	getEligibleHosts, getHostAnswer, getOwner, getOwners,
+	getEligibleHosts, getHostListResponse, getOwner, getOwners,
 } from './index.js';
 
 const hosts = Array.from({length: 7}, (_, index) => `h${index}`);
@@ -42,7 +42,7 @@
 	const members = [
 		createMember('h0', {zone: 'b'}), createMember('h1', {load: 0.5}), createMember('h2', {state: 'draining'}), createMember('h3', {state: 'suspected'}), createMember('h4', {state: 'gone'}),
 	];
-	const answer = getHostAnswer(members, 'a', 5000);
+	const answer = getHostListResponse(members, 'a', 5000);
 	expect(answer.hosts.map(({host}) => host)).toEqual(['h1', 'h0', 'h3']);
 	expect(answer.hosts.map(({weight}) => weight)).toEqual([55, 25, 1]);
 });
@@ -51,13 +51,13 @@
 	const state = fc.constantFrom('alive', 'suspected', 'draining', 'gone');
 	fc.assert(fc.property(fc.array(state, {minLength: 1, maxLength: 100}), states => {
 		const members = states.map((value, index) => createMember(`h${index}`, {state: value}));
-		expect(getHostAnswer(members, 'a', 5000).hosts.length).toBeGreaterThan(0);
+		expect(getHostListResponse(members, 'a', 5000).hosts.length).toBeGreaterThan(0);
 	}), {seed: 1});
 });
 
 test('an answer for a large fleet includes hosts of other zones', () => {
 	const members = Array.from({length: 480}, (_, index) => createMember(`h${index}`, {zone: index < 400 ? 'a' : 'b'}));
-	const {hosts: listed} = getHostAnswer(members, 'a', 5000);
+	const {hosts: listed} = getHostListResponse(members, 'a', 5000);
 	expect(listed.length).toBe(24);
 	expect(listed.filter(({zone}) => zone === 'b').length).toBe(8);
 });
--- a/packages/membership/src/protocol/piggyback.ts
+++ b/packages/membership/src/protocol/piggyback.ts
@@ -1,4 +1,4 @@
-import type {HostId, Note} from '@gentianlift/types';
+import type {HostId, Announcement} from '@gentianlift/types';
 import type {Entry, Update} from '../state/entry.js';
 import {getAnnouncementKey, type AnnouncementStore} from '../state/announcement-store.js';
 import type {DisseminationQueue} from '../state/dissemination-queue.js';
@@ -76,7 +76,7 @@
 	const updates = takeItems<Update>(updateQueue, {
 		availableBytes: maxDatagramBytes - reservedBytes, limit, getItem, getSize: getUpdateSize,
 	});
-	const takenAnnouncements = takeItems<Note>(announcementQueue, {
+	const takenAnnouncements = takeItems<Announcement>(announcementQueue, {
 		availableBytes: updates.remainingBytes, limit, getItem: key => announcements.get(key), getSize: getAnnouncementSize,
 	});
 	const entries = takeItems<Entry>(entryQueue, {
@@ -94,7 +94,7 @@
 };
 
 /** Splits entries and announcements into as many pages as they need, each small enough for one packet. */
-export const createPages = (entries: Entry[], announcements: Note[]): Piggyback[] => {
+export const createPages = (entries: Entry[], announcements: Announcement[]): Piggyback[] => {
 	const pages: Piggyback[] = [];
 	let remainingBytes = 0;
 	const getPageWithRoom = (size: number): Piggyback => {
@@ -124,6 +124,6 @@
 };
 
 /** Queues an announcement for dissemination as an urgent fact. */
-export const queueAnnouncement = ({announcementQueue}: DisseminationState, announcement: Note): void => {
+export const queueAnnouncement = ({announcementQueue}: DisseminationState, announcement: Announcement): void => {
 	announcementQueue.add(getAnnouncementKey(announcement), true);
 };
--- a/packages/membership/src/protocol/probe-order.ts
+++ b/packages/membership/src/protocol/probe-order.ts
@@ -25,7 +25,7 @@
 
 			for (const host of present.filter(other => !placed.has(other))) {
 				placed.add(host);
-				round.splice(random.below(round.length + 1), 0, host);
+				round.splice(random.nextInt(round.length + 1), 0, host);
 			}
 
 			return round.pop();
--- a/packages/membership/src/state/announcement-store.ts
+++ b/packages/membership/src/state/announcement-store.ts
@@ -1,31 +1,31 @@
 import type {Clock} from '@gentianlift/clock';
-import type {Milliseconds, Note, NoteTopic} from '@gentianlift/types';
+import type {Milliseconds, Announcement, AnnouncementTopic} from '@gentianlift/types';
 
 /** Unexpired announcements; only the newest for each topic, key and host is stored. */
 export type AnnouncementStore = {
 	/** Stores an announcement; returns false when it is already known, outdated, expired or the store is full. */
-	add: (announcement: Note) => boolean;
+	add: (announcement: Announcement) => boolean;
 	/** Returns an announcement with its remaining duration, by the key from `getAnnouncementKey`; undefined once expired. */
-	get: (key: string) => Note | undefined;
-	getByTopic: (topic: NoteTopic) => Note[];
+	get: (key: string) => Announcement | undefined;
+	getByTopic: (topic: AnnouncementTopic) => Announcement[];
 	getKeys: () => string[];
 	/** Removes expired announcements. */
 	removeExpired: () => void;
 };
 
-type StoredAnnouncement = {announcement: Note; expiresAt: Milliseconds};
+type StoredAnnouncement = {announcement: Announcement; expiresAt: Milliseconds};
 
 /** Maximum number of announcements stored at once. */
 const maxAnnouncements = 2000;
 
 /** Returns the key under which only the newest announcement is stored. */
-export const getAnnouncementKey = ({topic, key, host}: Note): string => `${topic} ${key} ${host}`;
+export const getAnnouncementKey = ({topic, key, host}: Announcement): string => `${topic} ${key} ${host}`;
 
 /** Creates an empty store. */
 export const createAnnouncementStore = (clock: Clock): AnnouncementStore => {
 	const announcements = new Map<string, StoredAnnouncement>();
 
-	const getUnexpired = ({announcement, expiresAt}: StoredAnnouncement): Note | undefined => {
+	const getUnexpired = ({announcement, expiresAt}: StoredAnnouncement): Announcement | undefined => {
 		const duration = Math.round(expiresAt - clock.monotonic());
 		return duration > 0 ? {...announcement, duration} : undefined;
 	};
--- a/packages/membership/src/transport/memory-network.ts
+++ b/packages/membership/src/transport/memory-network.ts
@@ -46,7 +46,7 @@
 					return;
 				}
 
-				clock.after(1 + random.below(maxDelay), () => {
+				clock.after(1 + random.nextInt(maxDelay), () => {
 					deliver(to, bytes);
 				});
 			},
--- a/packages/membership/src/wire/codec.ts
+++ b/packages/membership/src/wire/codec.ts
@@ -1,5 +1,5 @@
 import {decode, encode} from '@msgpack/msgpack';
-import {noteTopics, type HostId, type Note} from '@gentianlift/types';
+import {announcementTopics, type HostId, type Announcement} from '@gentianlift/types';
 import {livenessStates, type Entry, type Update} from '../state/entry.js';
 import type {Message, Packet} from './packet.js';
 
@@ -32,8 +32,8 @@
 	...packUpdate(entry), entry.zone, entry.callerAddress, entry.peerAddress, entry.gossipAddress,
 ];
 
-const packAnnouncement = (announcement: Note): PackedAnnouncement => [
-	noteTopics.indexOf(announcement.topic), announcement.key, announcement.value, announcement.host, announcement.sequence, announcement.duration,
+const packAnnouncement = (announcement: Announcement): PackedAnnouncement => [
+	announcementTopics.indexOf(announcement.topic), announcement.key, announcement.value, announcement.host, announcement.sequence, announcement.duration,
 ];
 
 const packMessage = (message: Message): PackedMessage => {
@@ -71,8 +71,8 @@
 	};
 };
 
-const unpackAnnouncement = ([topic, key, value, host, sequence, duration]: PackedAnnouncement): Note | undefined => {
-	const name = noteTopics[topic];
+const unpackAnnouncement = ([topic, key, value, host, sequence, duration]: PackedAnnouncement): Announcement | undefined => {
+	const name = announcementTopics[topic];
 	return name === undefined
 		? undefined
 		: {
@@ -143,4 +143,4 @@
 export const getEntrySize = (entry: Entry): number => encode(packEntry(entry)).length;
 
 /** Returns the encoded size of an announcement, in bytes. */
-export const getAnnouncementSize = (announcement: Note): number => encode(packAnnouncement(announcement)).length;
+export const getAnnouncementSize = (announcement: Announcement): number => encode(packAnnouncement(announcement)).length;
--- a/packages/membership/src/wire/packet.ts
+++ b/packages/membership/src/wire/packet.ts
@@ -1,4 +1,4 @@
-import type {HostId, Note} from '@gentianlift/types';
+import type {HostId, Announcement} from '@gentianlift/types';
 import type {Entry, Update} from '../state/entry.js';
 
 /** The protocol message that a packet carries. */
@@ -29,5 +29,5 @@
 	entries: Entry[];
 	/** Hosts whose full entries the sender requests. */
 	entryRequests: HostId[];
-	announcements: Note[];
+	announcements: Announcement[];
 };
--- a/packages/metrics/src/metrics.ts
+++ b/packages/metrics/src/metrics.ts
@@ -4,7 +4,7 @@
 export type Labels = Record<string, string>;
 
 /** Summary statistics of a histogram, in the unit of the recorded values. */
-export type Summary = {count: number; mean: number; p50: number; p95: number; p99: number; max: number};
+export type HistogramSummary = {count: number; mean: number; p50: number; p95: number; p99: number; max: number};
 
 /** Registry of the counters, gauges and histograms of a process. */
 export type Metrics = {
@@ -17,9 +17,9 @@
 	/** Returns the value of a counter or gauge; 0 if it was never set. */
 	getValue: (name: string, labels?: Labels) => number;
 	/** Returns the summary of a histogram; undefined if nothing was recorded. */
-	getSummary: (name: string, labels?: Labels) => Summary | undefined;
+	getSummary: (name: string, labels?: Labels) => HistogramSummary | undefined;
 	/** Renders all series in the Prometheus text format, for a scrape. */
-	getPage: () => string;
+	renderPrometheusText: () => string;
 };
 
 /** A metric's value for one set of labels. */
@@ -33,7 +33,7 @@
 	return pairs.length === 0 ? name : `${name}{${pairs.join(',')}}`;
 };
 
-const summarizeHistogram = (histogram: Histogram): Summary => ({
+const summarizeHistogram = (histogram: Histogram): HistogramSummary => ({
 	count: histogram.totalCount,
 	mean: histogram.mean,
 	p50: histogram.getValueAtPercentile(50),
@@ -89,7 +89,7 @@
 			const series = histograms.get(formatSeriesKey(name, labels));
 			return series === undefined ? undefined : summarizeHistogram(series.value);
 		},
-		getPage() {
+		renderPrometheusText() {
 			const lines = [...values].map(([key, series]) => `${key} ${series.value}`);
 			const summaries = [...histograms.values()].flatMap(series => formatSummaryLines(series));
 			return [...lines, ...summaries].map(line => `gentianlift_${line}\n`).join('');
--- a/packages/model/src/claims/replay.ts
+++ b/packages/model/src/claims/replay.ts
@@ -1,5 +1,5 @@
 import {createManualClock, createRandom, type ManualClock} from '@gentianlift/clock';
-import {claimLimits, createClaimOwner, type ClaimOwner} from '@gentianlift/claims';
+import {claimLimits, createClaimStore, type ClaimStore} from '@gentianlift/claims';
 import {createMetrics} from '@gentianlift/metrics';
 import type {ClaimOutcome, KeyValueService, WriteOutcome} from '@gentianlift/types';
 import type {ClaimEvent} from './specification.js';
@@ -13,7 +13,7 @@
 		| {kind: 'write'; swap: CompareAndSwap; resolve: (outcome: WriteOutcome) => void};
 type StoredClaim = {request: string; givenUp?: string[]; outcome: {kind: ClaimRecord['outcome']}};
 type InFlightWrite = {call: Extract<ServiceCall, {kind: 'write'}>; outcome?: WriteOutcome};
-type Host = {owner: ClaimOwner; call?: ServiceCall | undefined; inFlightWrite?: InFlightWrite | undefined};
+type Host = {owner: ClaimStore; call?: ServiceCall | undefined; inFlightWrite?: InFlightWrite | undefined};
 
 /** The code of the claims package, driven by the events of a trace. */
 export type Replay = {
@@ -29,7 +29,7 @@
 /** Longest backoff of the claims package in milliseconds; advancing the clock by it starts any pending retry. */
 const maxBackoff = 1000;
 const limits = {
-	...claimLimits, writeInterval: 0, claimTimeout: Number.MAX_SAFE_INTEGER, settleTimeout: Number.MAX_SAFE_INTEGER,
+	...claimLimits, minWriteInterval: 0, claimTimeout: Number.MAX_SAFE_INTEGER, settleTimeout: Number.MAX_SAFE_INTEGER,
 };
 
 const getRequestId = (attempt: number): string => `a.1.${attempt}`;
@@ -65,7 +65,7 @@
 				host.call = {kind: 'write', swap, resolve};
 			}),
 		} as unknown as KeyValueService;
-		host.owner = createClaimOwner({
+		host.owner = createClaimStore({
 			clock, random: createRandom(1), metrics: createMetrics(), keyValue, limits,
 			isGone: (name, incarnation) => (currentState?.crashes[Number(name)] ?? 0) >= incarnation,
 		});
--- a/packages/model/src/configuration/configuration.test.ts
+++ b/packages/model/src/configuration/configuration.test.ts
@@ -1,5 +1,5 @@
 import {
-	applyVersion, chooseReading, getPublishStep, type FollowerState, type Publication,
+	applyVersion, choosePeerResult, getPublishStep, type FollowerState, type Publication,
 } from '@gentianlift/distribution';
 import type {Configuration, ConfigurationVersion} from '@gentianlift/types';
 import {expect, test} from 'vitest';
@@ -47,7 +47,7 @@
 });
 
 const getFollowerState = ({version, confirmedAt}: Host): FollowerState => {
-	const state: FollowerState = {refused: 0};
+	const state: FollowerState = {highestInvalidVersion: 0};
 	if (version > 0) {
 		state.current = createVersion(version, `token-${version}`);
 	}
@@ -64,7 +64,7 @@
 	const newest = createVersion(version, `token-${version}`);
 	const time = confirmedAt === 0 ? undefined : confirmedAt;
 	const isStarting = host.version === 0;
-	const reading = chooseReading([{kind: 'answered', answer: {newest}, confirmedAt: time}], isStarting ? host.announcedVersion : 0);
+	const reading = choosePeerResult([{kind: 'answered', answer: {newest}, confirmedAt: time}], isStarting ? host.announcedVersion : 0);
 	return reading === undefined ? getFollowerState(host) : applyVersion(getFollowerState(host), newest, time);
 };
 
--- a/packages/model/src/leases/leases.test.ts
+++ b/packages/model/src/leases/leases.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import type {Fencing} from '@gentianlift/types';
+import type {FencingSupport} from '@gentianlift/types';
 import {exploreGraph} from '../explore.js';
 import {isOrderAllowed} from './events.js';
 import {createReplay, type ReplayView} from './replay.js';
@@ -10,7 +10,7 @@
 
 const traceCount = 400;
 
-const getExpectedView = (state: LeaseState, fencing: Fencing): ReplayView => {
+const getExpectedView = (state: LeaseState, fencing: FencingSupport): ReplayView => {
 	const getFencingNumber = (host: HostName): number => {
 		const {phase, lease, fencingNumber} = state.hosts[host];
 		return phase === 'held' && state.leases[lease]?.isValidForHolder === true ? fencingNumber : 0;
@@ -26,7 +26,7 @@
 	};
 };
 
-const replayTraces = async (fencing: Fencing): Promise<number> => {
+const replayTraces = async (fencing: FencingSupport): Promise<number> => {
 	const specification = createLeaseSpecification({fencing, maxLeases: 2, maxFaults: 1});
 	const graph = exploreGraph(specification);
 	const states = [...graph.states.values()];
--- a/packages/model/src/leases/replay.ts
+++ b/packages/model/src/leases/replay.ts
@@ -1,11 +1,11 @@
 import {createManualClock, type ManualClock, createRandom} from '@gentianlift/clock';
-import {createOrders, getEngineSettings, type Orders} from '@gentianlift/fakes';
+import {createOrderExecutor, getEngineSettings, type OrderExecutor} from '@gentianlift/fakes';
 import {
-	acquireTerm, defaultTiming, fencingKey, getValidUntil, holderKey, mayOrder, type AcquireOutcome, type Term,
+	acquireTerm, defaultTiming, fencingKey, getValidUntil, holderKey, isOrderAllowed, type AcquireOutcome, type Term,
 } from '@gentianlift/placement';
 import {createMemoryKeyValue, type MemoryKeyValue} from '@gentianlift/platform';
 import type {
-	EngineOrder, Fencing, KeyValueService, WriteOutcome,
+	EngineOrder, FencingSupport, KeyValueService, WriteOutcome,
 } from '@gentianlift/types';
 import {
 	hosts, type HostName, type LeaseEvent, type Order, type ReplyKind,
@@ -117,13 +117,13 @@
 };
 
 /** Creates two hosts, a key-value service and an engine that follow the events of a trace. */
-export const createReplay = (fencing: Fencing): Replay => {
+export const createReplay = (fencing: FencingSupport): Replay => {
 	const memory = createMemoryKeyValue({clock: createManualClock(), random: createRandom(1)});
 	const lateWrites: CompareAndSwap[] = [];
 	const ordersInFlight: Order[] = [];
 	const hostStates: Record<HostName, Host> = {a: createHost(), b: createHost()};
 	const keyValues: Record<HostName, KeyValueService> = {a: createBlockingKeyValue(memory, hostStates.a, lateWrites), b: createBlockingKeyValue(memory, hostStates.b, lateWrites)};
-	const engine: Orders = createOrders(getEngineSettings({fencing}));
+	const engine: OrderExecutor = createOrderExecutor(getEngineSettings({fencing}));
 	const executedLeases: number[] = [];
 
 	const read = async (name: HostName): Promise<void> => {
@@ -151,18 +151,18 @@
 
 	/** Advances the host's clock until orders of earlier terms have expired, and renews the lease. */
 	const waitOutOrders = (host: Host): void => {
-		host.clock.pause(defaultTiming.orderLifetime);
+		host.clock.pause(defaultTiming.maxOrderLifetime);
 		if (host.term !== undefined) {
 			host.term = {...host.term, validUntil: getValidUntil(host.clock.monotonic(), defaultTiming)};
 		}
 	};
 
-	const isOrderAllowed = ({term, clock}: Host): boolean =>
-		term !== undefined && mayOrder(term, fencing, clock.monotonic(), defaultTiming);
+	const isOrderAllowedOn = ({term, clock}: Host): boolean =>
+		term !== undefined && isOrderAllowed(term, fencing, clock.monotonic(), defaultTiming);
 
 	const approveOrder = (host: Host): void => {
-		if (isOrderAllowed(host) && host.term !== undefined) {
-			host.approvedOrders.push({lease: Number(host.term.lease.replace('lease-', '')) - 1, fencingNumber: host.term.fencingNumber});
+		if (isOrderAllowedOn(host) && host.term !== undefined) {
+			host.approvedOrders.push({lease: Number(host.term.leaseId.replace('lease-', '')) - 1, fencingNumber: host.term.fencingNumber});
 		}
 	};
 
@@ -188,7 +188,7 @@
 			}
 
 			case 'expire': {
-				hostStates[event.host].clock.pause(defaultTiming.lease);
+				hostStates[event.host].clock.pause(defaultTiming.leaseDuration);
 				return;
 			}
 
@@ -246,7 +246,7 @@
 				isHolderTaken: memory.peek(holderKey) !== undefined,
 				fencingNumbers: Object.fromEntries(entries.map(([name, {term, clock}]) =>
 					[name, term !== undefined && clock.monotonic() < term.validUntil ? term.fencingNumber : 0])) as Record<HostName, number>,
-				isOrderAllowed: Object.fromEntries(entries.map(([name, host]) => [name, isOrderAllowed(host)])) as Record<HostName, boolean>,
+				isOrderAllowed: Object.fromEntries(entries.map(([name, host]) => [name, isOrderAllowedOn(host)])) as Record<HostName, boolean>,
 				executedLeases,
 			};
 		},
--- a/packages/model/src/leases/state.ts
+++ b/packages/model/src/leases/state.ts
@@ -1,4 +1,4 @@
-import type {Fencing} from '@gentianlift/types';
+import type {FencingSupport} from '@gentianlift/types';
 
 /** Names of the hosts that compete for the lease. */
 export const hosts = ['a', 'b'] as const;
@@ -91,7 +91,7 @@
 /** Variant of the specification to explore. */
 export type LeaseVariant = {
 	/** Whether the engine checks fencing numbers. */
-	fencing: Fencing;
+	fencing: FencingSupport;
 	fault?: LeaseFault;
 	/** Number of leases that may be granted in all. */
 	maxLeases: number;
--- a/packages/peers/src/peer-calls.ts
+++ b/packages/peers/src/peer-calls.ts
@@ -23,7 +23,7 @@
 /** Calls to other hosts over connections that are opened on demand. */
 export type PeerConnections = PeerCalls & {
 	/** Closes the connections to all hosts that are not listed. */
-	retain: (hosts: readonly HostId[]) => void;
+	closeAllExcept: (hosts: readonly HostId[]) => void;
 	close: () => void;
 };
 
@@ -133,7 +133,7 @@
 		readConfiguration: async (to, message) => callPeer('readConfiguration', to, async ({client}, signal) => client.readConfiguration.mutate(message, {signal})),
 		readPlacementFacts: async (to, message) => callPeer('readPlacementFacts', to, async ({client}, signal) => client.readPlacementFacts.mutate(message, {signal})),
 		readAccount: async (to, message) => callPeer('readAccount', to, async ({client}, signal) => client.readAccount.mutate(message, {signal})),
-		retain(hosts) {
+		closeAllExcept(hosts) {
 			const retained = new Set(hosts);
 			for (const connection of connections.values()) {
 				if (!retained.has(connection.to)) {
--- a/packages/peers/src/peer-router.ts
+++ b/packages/peers/src/peer-router.ts
@@ -1,6 +1,6 @@
 import {initTRPC} from '@trpc/server';
 import type {
-	ClaimRequest, ClaimSettlement, GrantAnswer, GrantRequest, HostId, PeerHandlers, QuotaRequest, RequestId,
+	ClaimRequest, ClaimSettlement, GrantResponse, GrantRequest, HostId, PeerHandlers, QuotaRequest, RequestId,
 } from '@gentianlift/types';
 import {compactCodec} from './compact.js';
 
@@ -21,7 +21,7 @@
 /** Creates the router of the procedures that other hosts can call. */
 export const createPeerRouter = (handlers: PeerHandlers) => trpc.router({
 	exchangeGrants: trpc.procedure.input(castMessage<GrantRequest>).mutation(async ({ctx, input}) => handlers.exchangeGrants(ctx.from, input)),
-	pushGrants: trpc.procedure.input(castMessage<GrantAnswer>).mutation(async ({ctx, input}) => handlers.pushGrants(ctx.from, input)),
+	pushGrants: trpc.procedure.input(castMessage<GrantResponse>).mutation(async ({ctx, input}) => handlers.pushGrants(ctx.from, input)),
 	exchangeQuota: trpc.procedure.input(castMessage<QuotaRequest>).mutation(async ({ctx, input}) => handlers.exchangeQuota(ctx.from, input)),
 	claim: trpc.procedure.input(castMessage<ClaimRequest>).mutation(async ({ctx, input}) => handlers.claim(ctx.from, input)),
 	settleClaim: trpc.procedure.input(castMessage<ClaimSettlement>).mutation(async ({ctx, input}) => handlers.settleClaim(ctx.from, input)),
--- a/packages/placement/src/lease/acquire-term.ts
+++ b/packages/placement/src/lease/acquire-term.ts
@@ -69,7 +69,7 @@
 	}
 
 	const term: Term = {
-		fencingNumber, lease, validUntil: getValidUntil(requestedAt, timing), unfencedOrdersFrom: getUnfencedOrdersFrom(clock.monotonic(), timing),
+		fencingNumber, leaseId: lease, validUntil: getValidUntil(requestedAt, timing), unfencedOrdersFrom: getUnfencedOrdersFrom(clock.monotonic(), timing),
 	};
 	return {kind: 'acquired', term};
 };
@@ -92,7 +92,7 @@
 	}
 
 	const requestedAt = clock.monotonic();
-	const granted = await keyValue.grantLease(timing.lease);
+	const granted = await keyValue.grantLease(timing.leaseDuration);
 	if (granted.kind !== 'held') {
 		return {kind: 'failed', reason: granted.kind === 'lost' ? granted.kind : granted.reason};
 	}
--- a/packages/placement/src/lease/leader-election.ts
+++ b/packages/placement/src/lease/leader-election.ts
@@ -46,7 +46,7 @@
 
 	const renewTerm = async (held: Term): Promise<void> => {
 		const requestedAt = clock.monotonic();
-		const outcome = await keyValue.renewLease(held.lease);
+		const outcome = await keyValue.renewLease(held.leaseId);
 		if (term !== held) {
 			return;
 		}
@@ -67,7 +67,7 @@
 
 		metrics.count('placement_acquisitions_total', {outcome: outcome.kind});
 		if (!isRunning) {
-			await keyValue.endLease(outcome.term.lease);
+			await keyValue.endLease(outcome.term.leaseId);
 			return;
 		}
 
@@ -108,7 +108,7 @@
 		const held = term;
 		if (held !== undefined) {
 			loseTerm(reason);
-			await keyValue.endLease(held.lease);
+			await keyValue.endLease(held.leaseId);
 		}
 	};
 
--- a/packages/placement/src/lease/lease.test.ts
+++ b/packages/placement/src/lease/lease.test.ts
@@ -3,7 +3,7 @@
 import {createMetrics} from '@gentianlift/metrics';
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import {
-	acquireTerm, createLeaderElection, defaultTiming, mayOrder, type AcquireOptions,
+	acquireTerm, createLeaderElection, defaultTiming, isOrderAllowed, type AcquireOptions,
 } from '../index.js';
 
 const createFleet = () => {
@@ -39,7 +39,7 @@
 	election.start();
 	await clock.advance(1);
 	const term = election.getTerm();
-	clock.pause(defaultTiming.lease - defaultTiming.validityMargin + 1);
+	clock.pause(defaultTiming.leaseDuration - defaultTiming.validityMargin + 1);
 	expect([term?.fencingNumber, election.getTerm()]).toEqual([1, undefined]);
 });
 
@@ -61,7 +61,7 @@
 test('releases the lease after a write of unknown outcome', async () => {
 	for (const faults of [['lost-reply'], ['late'], ['dropped']] as const) {
 		const {keyValue, getOptions} = createFleet();
-		keyValue.failWrites(...faults);
+		keyValue.injectWriteFaults(...faults);
 		// eslint-disable-next-line no-await-in-loop -- Each case has its own fleet.
 		expect(await acquireTerm(getOptions('a'))).toMatchObject({kind: 'failed'});
 		// eslint-disable-next-line no-await-in-loop -- Each case has its own fleet.
@@ -71,9 +71,9 @@
 
 test('an engine that ignores fencing numbers gets orders only after earlier ones have ended', () => {
 	const term = {
-		fencingNumber: 2, lease: 'l', validUntil: 9000, unfencedOrdersFrom: 8000,
+		fencingNumber: 2, leaseId: 'l', validUntil: 9000, unfencedOrdersFrom: 8000,
 	};
-	const isAllowed = (fencing: 'checked' | 'ignored', now: number, orderTimeout = 500) => mayOrder(term, fencing, now, {orderTimeout});
+	const isAllowed = (fencing: 'checked' | 'ignored', now: number, orderTimeout = 500) => isOrderAllowed(term, fencing, now, {orderTimeout});
 	expect([isAllowed('checked', 0), isAllowed('checked', 8999), isAllowed('checked', 9000)]).toEqual([true, true, false]);
 	expect([isAllowed('ignored', 7999), isAllowed('ignored', 8000), isAllowed('ignored', 8600)]).toEqual([false, true, false]);
 });
--- a/packages/placement/src/lease/term.ts
+++ b/packages/placement/src/lease/term.ts
@@ -1,4 +1,4 @@
-import type {Fencing, Milliseconds} from '@gentianlift/types';
+import type {FencingSupport, Milliseconds} from '@gentianlift/types';
 import type {Timing} from '../timing.js';
 
 /** Period during which a host holds the lease. */
@@ -6,7 +6,7 @@
 	/** Higher than the fencing number of each earlier term. */
 	fencingNumber: number;
 	/** Id of the lease in the key-value service. */
-	lease: string;
+	leaseId: string;
 	/** Moment on the monotonic clock from which the holder must not act. */
 	validUntil: Milliseconds;
 	/** Moment on the monotonic clock from which orders may go to engines that ignore fencing numbers. */
@@ -14,12 +14,12 @@
 };
 
 /** Returns the end of the safe validity of a lease that was requested at `requestedAt`. The service grants the lease later, so it ends the lease later too. */
-export const getValidUntil = (requestedAt: Milliseconds, {lease, validityMargin}: Pick<Timing, 'lease' | 'validityMargin'>): Milliseconds =>
-	requestedAt + lease - validityMargin;
+export const getValidUntil = (requestedAt: Milliseconds, {leaseDuration, validityMargin}: Pick<Timing, 'leaseDuration' | 'validityMargin'>): Milliseconds =>
+	requestedAt + leaseDuration - validityMargin;
 
 /** Returns the moment from which no order of an earlier holder can arrive any more. */
-export const getUnfencedOrdersFrom = (acquiredAt: Milliseconds, {orderLifetime}: Pick<Timing, 'orderLifetime'>): Milliseconds =>
-	acquiredAt + orderLifetime;
+export const getUnfencedOrdersFrom = (acquiredAt: Milliseconds, {maxOrderLifetime}: Pick<Timing, 'maxOrderLifetime'>): Milliseconds =>
+	acquiredAt + maxOrderLifetime;
 
 /** Whether the term is still valid. */
 export const isTermValid = (term: Term, now: Milliseconds): boolean => now < term.validUntil;
@@ -29,7 +29,7 @@
 
 An engine that checks fencing numbers refuses stale orders itself. For an engine that ignores them, the order must end within the term, and the orders of earlier holders must have ended.
 */
-export const mayOrder = (term: Term, fencing: Fencing, now: Milliseconds, {orderTimeout}: Pick<Timing, 'orderTimeout'>): boolean => {
+export const isOrderAllowed = (term: Term, fencing: FencingSupport, now: Milliseconds, {orderTimeout}: Pick<Timing, 'orderTimeout'>): boolean => {
 	switch (fencing) {
 		case 'checked': {
 			return isTermValid(term, now);
--- a/packages/placement/src/order-dispatcher.ts
+++ b/packages/placement/src/order-dispatcher.ts
@@ -1,10 +1,10 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
-	Engine, EngineOrder, FencedOrder, LoadReport, Milliseconds, OrderOutcome, UpstreamId,
+	Engine, EngineOrder, FencedOrder, EngineLoadReport, Milliseconds, OrderOutcome, UpstreamId,
 } from '@gentianlift/types';
 import type {LeaderElection} from './lease/leader-election.js';
-import {mayOrder} from './lease/term.js';
+import {isOrderAllowed} from './lease/term.js';
 import type {PlannedOrder} from './plan/types.js';
 import type {Timing} from './timing.js';
 
@@ -16,7 +16,7 @@
 	/** Adds planned orders, at most one per engine; ignored when this host does not hold the lease. */
 	add: (orders: PlannedOrder[]) => void;
 	/** Removes orders whose effect is reported or that have timed out, and sends those that no engine has accepted yet. */
-	run: (reports: ReadonlyMap<UpstreamId, LoadReport>) => Promise<void>;
+	run: (reports: ReadonlyMap<UpstreamId, EngineLoadReport>) => Promise<void>;
 	/** Returns the pending order of each engine. */
 	getPending: () => Map<UpstreamId, EngineOrder>;
 	/** Removes all pending orders. */
@@ -39,7 +39,7 @@
 const effectTimeout: Milliseconds = 180_000;
 
 /** Whether a load report shows the effect of an order. */
-export const isEffectReported = (order: EngineOrder, report: LoadReport): boolean => {
+export const isEffectReported = (order: EngineOrder, report: EngineLoadReport): boolean => {
 	switch (order.kind) {
 		case 'load': {
 			return report.models.includes(order.model);
@@ -96,7 +96,7 @@
 	const send = async (entry: PendingOrder): Promise<void> => {
 		const term = election.getTerm();
 		// The check and the call are in one synchronous step, so that the term can't end between them.
-		if (term?.fencingNumber !== entry.fencingNumber || !mayOrder(term, entry.engine.fencing, clock.monotonic(), timing)) {
+		if (term?.fencingNumber !== entry.fencingNumber || !isOrderAllowed(term, entry.engine.fencing, clock.monotonic(), timing)) {
 			return;
 		}
 
@@ -107,7 +107,7 @@
 	};
 
 	/** Removes orders whose effect is reported or that have timed out. */
-	const removeFinished = (reports: ReadonlyMap<UpstreamId, LoadReport>): void => {
+	const removeFinished = (reports: ReadonlyMap<UpstreamId, EngineLoadReport>): void => {
 		for (const [id, entry] of pending) {
 			const report = reports.get(id);
 			const isDone = entry.isAccepted && report !== undefined && isEffectReported(entry.order, report);
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -3,7 +3,7 @@
 import {createMetrics} from '@gentianlift/metrics';
 import {createMemoryKeyValue} from '@gentianlift/platform';
 import type {
-	Configuration, Engine, FencedOrder, LoadReport, OrderOutcome,
+	Configuration, Engine, FencedOrder, EngineLoadReport, OrderOutcome,
 } from '@gentianlift/types';
 import {createPlacement, defaultTiming, type SendOrder} from './index.js';
 
@@ -22,7 +22,7 @@
 	const clock = createManualClock();
 	const keyValue = createMemoryKeyValue({clock, random: createRandom(1)});
 	const sent: FencedOrder[] = [];
-	const report: LoadReport = {
+	const report: EngineLoadReport = {
 		at: 0, running: 0, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: false,
 	};
 	const sendOrder: SendOrder = async (_, order) => {
@@ -32,8 +32,8 @@
 
 	const createHostPlacement = (host: string) => createPlacement({
 		clock, keyValue, sendOrder, random: createRandom(3), metrics: createMetrics(), self: {host, incarnation: 1},
-		weightStore: {readRate: async () => ({bytesPerSecond: 1e9, bytesUnderWay: 0})},
-		getDemand: () => [],
+		weightStore: {readBandwidth: async () => ({bytesPerSecond: 1e9, bytesUnderWay: 0})},
+		getDemands: () => [],
 		getConfiguration: () => getConfiguration(fencing),
 		getLoadReports: () => new Map([['e1', report]]),
 	});
@@ -64,7 +64,7 @@
 	const {clock, sent, createHostPlacement} = createSetup([], 'ignored');
 	const placement = createHostPlacement('a');
 	placement.start();
-	await clock.advance(defaultTiming.orderLifetime - 1);
+	await clock.advance(defaultTiming.maxOrderLifetime - 1);
 	expect(sent).toEqual([]);
 	await clock.advance(3 * defaultTiming.planInterval);
 	expect(sent).toHaveLength(1);
@@ -78,7 +78,7 @@
 	placement.start();
 	await clock.advance(3000);
 	report.models.pop();
-	clock.pause(defaultTiming.lease);
+	clock.pause(defaultTiming.leaseDuration);
 	await clock.advance(0);
 	expect(sent).toEqual([]);
 	await clock.advance(20_000);
--- a/packages/placement/src/placement.ts
+++ b/packages/placement/src/placement.ts
@@ -1,13 +1,13 @@
 import type {Cancel, Clock, Random} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
-	Configuration, KeyValueService, LoadReport, UpstreamId, WeightStore,
+	Configuration, KeyValueService, EngineLoadReport, UpstreamId, WeightStore,
 } from '@gentianlift/types';
 import {createOrderDispatcher, type SendOrder} from './order-dispatcher.js';
 import type {HostIncarnation} from './lease/acquire-term.js';
 import {createLeaderElection} from './lease/leader-election.js';
 import {planOrders} from './plan/plan-orders.js';
-import {emptyPlanHistory, type Demand, type PlanHistory} from './plan/types.js';
+import {emptyPlanHistory, type ModelDemand, type PlanHistory} from './plan/types.js';
 import {defaultTiming, type Timing} from './timing.js';
 
 /** Dependencies and options of placement. */
@@ -20,10 +20,10 @@
 	weightStore: WeightStore;
 	sendOrder: SendOrder;
 	/** Returns the demand of all hosts, as far as this host knows it. */
-	getDemand: () => Demand[];
+	getDemands: () => ModelDemand[];
 	getConfiguration: () => Configuration | undefined;
 	/** Returns the latest report of each engine that has answered recently. */
-	getLoadReports: () => ReadonlyMap<UpstreamId, LoadReport>;
+	getLoadReports: () => ReadonlyMap<UpstreamId, EngineLoadReport>;
 	/** Whether this host should try to acquire the lease; in a large fleet only a few hosts do. */
 	isCandidate?: () => boolean;
 	timing?: Timing;
@@ -65,9 +65,9 @@
 	const plan = async (configuration: Configuration): Promise<void> => {
 		const {engines, models, adapters} = configuration.inventory;
 		const reports = options.getLoadReports();
-		const rate = await options.weightStore.readRate();
+		const rate = await options.weightStore.readBandwidth();
 		const next = planOrders({
-			now: clock.monotonic(), engines, models, adapters, reports, demands: options.getDemand(), pending: dispatcher.getPending(), rate, history,
+			now: clock.monotonic(), engines, models, adapters, reports, demands: options.getDemands(), pending: dispatcher.getPending(), rate, history,
 		});
 		history = next.history;
 		dispatcher.add(next.orders);
--- a/packages/placement/src/plan/plan-orders.test.ts
+++ b/packages/placement/src/plan/plan-orders.test.ts
@@ -1,18 +1,18 @@
 import {expect, test} from 'vitest';
-import type {Engine, LoadReport} from '@gentianlift/types';
+import type {Engine, EngineLoadReport} from '@gentianlift/types';
 import {
-	changeCooldown, minShortageDuration, emptyPlanHistory, planOrders, minIdleDuration, type Demand, type PlanInput,
+	changeCooldown, minShortageDuration, emptyPlanHistory, planOrders, minIdleDuration, type ModelDemand, type PlanInput,
 } from '../index.js';
 
 const getEngine = (id: string, change: Partial<Engine> = {}): Engine => ({
 	id, address: '127.0.0.1:1', zone: 'a', models: ['small', 'large'], adapters: ['quotes'], role: 'mixed', accelerators: 1, slots: 8, fencing: 'checked', ...change,
 });
 
-const getReport = (models: string[], change: Partial<LoadReport> = {}): LoadReport => ({
+const getReport = (models: string[], change: Partial<EngineLoadReport> = {}): EngineLoadReport => ({
 	at: 0, running: 0, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models, adapters: [], role: 'mixed', leaving: false, ...change,
 });
 
-const getDemand = (needs: string, change: Partial<Demand> = {}): Demand => ({
+const getDemand = (needs: string, change: Partial<ModelDemand> = {}): ModelDemand => ({
 	className: needs, needs, rank: 0, running: 0, waiting: 0, serviceTime: 4000, target: 1000, ...change,
 });
 
--- a/packages/placement/src/plan/slot-supply.ts
+++ b/packages/placement/src/plan/slot-supply.ts
@@ -1,7 +1,7 @@
 import type {
 	Engine, ModelName, Rank, UpstreamId,
 } from '@gentianlift/types';
-import type {Demand, PlanInput} from './types.js';
+import type {ModelDemand, PlanInput} from './types.js';
 
 /** Number of slots demanded of a model or adapter, and the highest tier with demand for it. */
 export type SlotDemand = {slots: number; rank: Rank};
@@ -10,11 +10,11 @@
 export type EngineState = {engine: Engine; loaded: ReadonlySet<ModelName>; isLeaving: boolean; utilisation: number};
 
 /** Returns the number of slots for a demand: those in use, and as many as start all waiting requests within their target. */
-export const getDemandedSlots = ({running, waiting, serviceTime, target}: Demand): number =>
+export const getDemandedSlots = ({running, waiting, serviceTime, target}: ModelDemand): number =>
 	running + (waiting * Math.min(1, serviceTime / target));
 
 /** Sums demands by model or adapter. */
-export const getSlotDemands = (demands: Demand[]): Map<ModelName, SlotDemand> => {
+export const getSlotDemands = (demands: ModelDemand[]): Map<ModelName, SlotDemand> => {
 	const slotDemands = new Map<ModelName, SlotDemand>();
 	for (const demand of demands) {
 		const previous = slotDemands.get(demand.needs);
--- a/packages/placement/src/plan/types.ts
+++ b/packages/placement/src/plan/types.ts
@@ -1,8 +1,8 @@
 import type {
-	Adapter, Demand, Engine, EngineOrder, LoadReport, Milliseconds, Model, ModelName, UpstreamId,
+	Adapter, ModelDemand, Engine, EngineOrder, EngineLoadReport, Milliseconds, Model, ModelName, UpstreamId,
 } from '@gentianlift/types';
 
-export type {Demand} from '@gentianlift/types';
+export type {ModelDemand} from '@gentianlift/types';
 
 /**
 How long conditions have lasted, so that a plan doesn't follow short fluctuations of demand.
@@ -32,8 +32,8 @@
 	models: Model[];
 	adapters: Adapter[];
 	/** Recent load reports. */
-	reports: ReadonlyMap<UpstreamId, LoadReport>;
-	demands: Demand[];
+	reports: ReadonlyMap<UpstreamId, EngineLoadReport>;
+	demands: ModelDemand[];
 	/** Orders whose effect no load report shows yet. */
 	pending: ReadonlyMap<UpstreamId, EngineOrder>;
 	/** While the rate is unknown, nothing is loaded. */
--- a/packages/platform/src/json-client.ts
+++ b/packages/platform/src/json-client.ts
@@ -12,7 +12,7 @@
 	path: string;
 	body?: unknown;
 	/** Time by which both timeouts are extended, for calls that the service holds open, such as a watch. */
-	extraTime?: Milliseconds;
+	timeoutExtension?: Milliseconds;
 };
 
 /** Outcome of a call: `unavailable` if no byte of the request was sent, `unknown` if the service may have executed it. */
@@ -103,7 +103,7 @@
 }: PlatformClientOptions): JsonClient => {
 	const agent = new Agent({keepAlive: true, maxSockets: maxConnections});
 
-	const startRequest = ({method, path, body, extraTime = 0}: JsonCall): ClientRequest => {
+	const startRequest = ({method, path, body, timeoutExtension: extraTime = 0}: JsonCall): ClientRequest => {
 		const text = body === undefined ? undefined : JSON.stringify(body);
 		const headers = text === undefined ? {} : {'content-type': 'application/json', 'content-length': Buffer.byteLength(text)};
 		const outgoing = request(new URL(path, url), {
@@ -120,7 +120,7 @@
 		const writeProgress: WriteProgress = {isWritten: false};
 		const outgoing = startRequest(call);
 		trackRequestWritten(outgoing, writeProgress);
-		const cancel = clock.after(timeout + (call.extraTime ?? 0), () => {
+		const cancel = clock.after(timeout + (call.timeoutExtension ?? 0), () => {
 			outgoing.destroy(new Error('timeout'));
 		});
 		try {
--- a/packages/platform/src/key-value-client.ts
+++ b/packages/platform/src/key-value-client.ts
@@ -88,7 +88,7 @@
 		},
 		async watch(key, after, limit) {
 			const path = `/v1/watch/${encodeURIComponent(key)}?after=${after}&limit=${limit}`;
-			const outcome = await call({method: 'GET', path, extraTime: limit});
+			const outcome = await call({method: 'GET', path, timeoutExtension: limit});
 			const entry = parseReply(outcome, httpStatus.ok, entrySchema);
 			if (entry !== undefined) {
 				return {kind: 'changed', entry};
--- a/packages/platform/src/memory-key-value.test.ts
+++ b/packages/platform/src/memory-key-value.test.ts
@@ -15,7 +15,7 @@
 
 test('a write whose reply is lost is applied at once, a late write after a delay', async () => {
 	const {clock, keyValue} = createService();
-	keyValue.failWrites('lost-reply', 'late', 'dropped');
+	keyValue.injectWriteFaults('lost-reply', 'late', 'dropped');
 	expect(await keyValue.compareAndSwap({key: 'a', value: '1', expected: 0})).toMatchObject({kind: 'unknown'});
 	expect(keyValue.peek('a')?.value).toBe('1');
 	await keyValue.compareAndSwap({key: 'a', value: '2', expected: 1});
--- a/packages/platform/src/memory-key-value.ts
+++ b/packages/platform/src/memory-key-value.ts
@@ -15,9 +15,9 @@
 	/** Delay of each reply. */
 	latency: Milliseconds;
 	/** Probability of each write fault, from 0 to 1. */
-	chances: Record<WriteFault, number>;
+	probabilities: Record<WriteFault, number>;
 	/** Maximum delay after which a `late` write is applied. */
-	lateLimit: Milliseconds;
+	maxLateDelay: Milliseconds;
 };
 
 /** Number of calls of each kind since the service was created. */
@@ -31,13 +31,13 @@
 	/** Changes the given faults and keeps the others. */
 	setFaults: (faults: Partial<MemoryFaults>) => void;
 	/** Injects these faults into the next writes, in order. */
-	failWrites: (...faults: WriteFault[]) => void;
+	injectWriteFaults: (...faults: WriteFault[]) => void;
 	/** Returns an entry without counting a call or injecting faults. */
 	peek: (key: string) => Entry | undefined;
 	/** Returns the number of calls of each kind. */
-	getCalls: () => CallCounts;
+	getCallCounts: () => CallCounts;
 	/** Returns all applied writes, oldest first. */
-	getHistory: () => readonly AppliedWrite[];
+	getAppliedWrites: () => readonly AppliedWrite[];
 };
 
 /** Dependencies of the in-memory service. */
@@ -51,10 +51,10 @@
 const noFaults: MemoryFaults = {
 	outage: false,
 	latency: 0,
-	chances: {
+	probabilities: {
 		'lost-reply': 0, late: 0, dropped: 0, refused: 0,
 	},
-	lateLimit: 1000,
+	maxLateDelay: 1000,
 };
 const outageReason = 'outage';
 
@@ -183,7 +183,7 @@
 	const plannedFaults: WriteFault[] = [];
 	/** Returns the fault of the next write: a planned one, otherwise a random one by its probability. */
 	const takeNextFault = (): WriteFault | undefined =>
-		plannedFaults.shift() ?? writeFaults.find(fault => random.next() < getFaults().chances[fault]);
+		plannedFaults.shift() ?? writeFaults.find(fault => random.next() < getFaults().probabilities[fault]);
 
 	const write = (change: WriteRequest): WriteOutcome => {
 		const fault = takeNextFault();
@@ -198,7 +198,7 @@
 			}
 
 			case 'late': {
-				clock.after(random.below(getFaults().lateLimit) + 1, () => {
+				clock.after(random.nextInt(getFaults().maxLateDelay) + 1, () => {
 					store.apply(change);
 				});
 				return {kind: 'unknown', reason: fault};
@@ -259,11 +259,11 @@
 		setFaults(changes) {
 			faults = {...faults, ...changes};
 		},
-		failWrites(...next) {
+		injectWriteFaults(...next) {
 			plannedFaults.push(...next);
 		},
 		peek: key => store.get(key),
-		getCalls: () => ({...calls}),
-		getHistory: () => store.history,
+		getCallCounts: () => ({...calls}),
+		getAppliedWrites: () => store.history,
 	};
 };
--- a/packages/platform/src/weight-store-client.ts
+++ b/packages/platform/src/weight-store-client.ts
@@ -12,7 +12,7 @@
 	const {call, close} = createJsonClient(options);
 	return {
 		close,
-		async readRate() {
+		async readBandwidth() {
 			const outcome = await call({method: 'GET', path: '/v1/rate'});
 			return outcome.kind === 'answered' ? rateSchema.safeParse(outcome.body).data : undefined;
 		},
--- a/packages/policy/src/choose-upstream.ts
+++ b/packages/policy/src/choose-upstream.ts
@@ -87,7 +87,7 @@
 	const remaining = [...eligible];
 	const chosen = remaining.filter(candidate => getCachedFraction(candidate, ticket) > 0);
 	while (chosen.length < size && remaining.length > 0) {
-		chosen.push(...remaining.splice(random.below(remaining.length), 1));
+		chosen.push(...remaining.splice(random.nextInt(remaining.length), 1));
 	}
 
 	return chosen;
--- a/packages/policy/src/estimate.ts
+++ b/packages/policy/src/estimate.ts
@@ -1,4 +1,4 @@
-import type {LoadReport, Milliseconds} from '@gentianlift/types';
+import type {EngineLoadReport, Milliseconds} from '@gentianlift/types';
 
 /** Minimum weight of the newest sample in the moving average. */
 const minSampleWeight = 0.1;
@@ -55,7 +55,7 @@
 	timeToFreeSlot + (ahead / Math.max(1, slots * tierSlotFraction));
 
 /** Returns the load of an upstream: this owner's current requests, and those of others according to the latest report, which lags behind. */
-export const getLoad = (outstanding: number, outstandingAtReport: number, report: LoadReport | undefined): number => {
+export const getLoad = (outstanding: number, outstandingAtReport: number, report: EngineLoadReport | undefined): number => {
 	const reportedRequests = report === undefined ? 0 : report.running + report.waiting;
 	return outstanding + Math.max(0, reportedRequests - outstandingAtReport);
 };
--- a/packages/router/src/callers/admission.ts
+++ b/packages/router/src/callers/admission.ts
@@ -1,9 +1,9 @@
 import {createHash} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
-import {findCustomer} from '@gentianlift/config';
+import {findCustomerByKey} from '@gentianlift/config';
 import {createFailure} from '@gentianlift/errors';
 import {classifyRequest, getFingerprint} from '@gentianlift/policy';
-import {createBookingId} from '@gentianlift/claims';
+import {appendSlotToRequestId} from '@gentianlift/claims';
 import type {
 	ClassifiedRequest, Configuration, Customer, Work,
 } from '@gentianlift/types';
@@ -21,7 +21,7 @@
 		throw createFailure('not-configured');
 	}
 
-	const customer = findCustomer(version.configuration, getApiKey(request));
+	const customer = findCustomerByKey(version.configuration, getApiKey(request));
 	if (customer === undefined) {
 		throw createFailure('wrong-key');
 	}
@@ -67,7 +67,7 @@
 
 	const {request} = classification;
 	const needsClaim = !request.idempotent && request.idempotencyKey !== undefined;
-	const identified = needsClaim ? {...request, id: createBookingId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
+	const identified = needsClaim ? {...request, id: appendSlotToRequestId(request.id, {customer: customer.id, key: request.idempotencyKey ?? ''})} : request;
 	exchange.id = identified.id;
 	exchange.classified = identified;
 	context.accounts.open(identified);
--- a/packages/router/src/callers/handle-request.ts
+++ b/packages/router/src/callers/handle-request.ts
@@ -1,5 +1,5 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {createFailure, getFailure, type RequestFailure} from '@gentianlift/errors';
+import {createFailure, toRequestFailure, type RequestFailure} from '@gentianlift/errors';
 import type {HostContext} from '../host-context.js';
 import {sendFailure} from './send-response.js';
 import {handleChat} from './commands/chat.js';
@@ -68,7 +68,7 @@
 	try {
 		await route(context, exchange);
 	} catch (error) {
-		const failure = getFailure(error);
+		const failure = toRequestFailure(error);
 		recordFailure(context, exchange, failure);
 		sendFailure(response, failure, exchange.id);
 	} finally {
--- a/packages/router/src/callers/unfinished-request.ts
+++ b/packages/router/src/callers/unfinished-request.ts
@@ -1,4 +1,4 @@
-import {createFailure, getFailure, type RequestFailure} from '@gentianlift/errors';
+import {createFailure, toRequestFailure, type RequestFailure} from '@gentianlift/errors';
 import type {ClassifiedRequest, RunState} from '@gentianlift/types';
 import {runClaimedRequest, type ClaimedRequestEnd} from '../dispatch/run-claimed.js';
 import type {HostContext} from '../host-context.js';
@@ -44,7 +44,7 @@
 		try {
 			return await runRequest();
 		} catch (error) {
-			return {kind: 'failed', failure: getFailure(error)};
+			return {kind: 'failed', failure: toRequestFailure(error)};
 		}
 	});
 	sendClaimedResult(exchange, result);
--- a/packages/router/src/dispatch/attempt-failure.ts
+++ b/packages/router/src/dispatch/attempt-failure.ts
@@ -1,7 +1,7 @@
 import type {ErrorKind} from '@gentianlift/errors';
 import {type CallFailure, getRunState, type UpstreamClient} from '@gentianlift/upstream';
 import type {
-	Address, AttemptOutcome, Milliseconds, RunState, UpstreamSighting,
+	Address, AttemptOutcome, Milliseconds, RunState, UpstreamObservation,
 } from '@gentianlift/types';
 
 /** Failure of an attempt, which ended without a complete answer, described for the account, the caller's error and the health record of the upstream. */
@@ -11,7 +11,7 @@
 	error: ErrorKind;
 	outcome: AttemptOutcome;
 	/** What the failure says about the health of the upstream; undefined if nothing. */
-	sighting: UpstreamSighting['kind'] | undefined;
+	sighting: UpstreamObservation['kind'] | undefined;
 	/** Whether the upstream executed the request, as far as the router knows. */
 	ran: RunState;
 	retryAfter?: Milliseconds;
@@ -19,7 +19,7 @@
 	rejection?: string;
 };
 
-const getSighting = (failure: CallFailure): UpstreamSighting['kind'] | undefined => {
+const getSighting = (failure: CallFailure): UpstreamObservation['kind'] | undefined => {
 	switch (failure.kind) {
 		case 'refused': {
 			return failure.code === 'leaving' ? 'leaving' : 'refused';
--- a/packages/router/src/dispatch/generation-attempt.ts
+++ b/packages/router/src/dispatch/generation-attempt.ts
@@ -1,4 +1,4 @@
-import {getEngineBody, type GenerationOutcome, type Resume} from '@gentianlift/upstream';
+import {getEngineBody, type GenerationOutcome, type GenerationProgress} from '@gentianlift/upstream';
 import type {Address, ClassifiedRequest, Milliseconds} from '@gentianlift/types';
 import type {ResponseWriter} from '../callers/caller-stream.js';
 import type {HostContext} from '../host-context.js';
@@ -12,7 +12,7 @@
 	/** Request body from the caller; the router always requests a streamed response from the engine. */
 	body: Record<string, unknown>;
 	/** Output of earlier attempts to continue from. */
-	resume: Resume | undefined;
+	resume: GenerationProgress | undefined;
 	/** Aborted when the caller has disconnected, or when an operator forces the host to stop; never for a non-idempotent request. */
 	stopSignal: AbortSignal;
 	/** Aborted when a request of a higher tier preempts this one. */
--- a/packages/router/src/dispatch/run-claimed.ts
+++ b/packages/router/src/dispatch/run-claimed.ts
@@ -78,7 +78,7 @@
 /** Runs a non-idempotent request under its claim: `runRequest` is called at most once, and only after the claim has been stored. */
 export const runClaimedRequest = async (context: HostContext, request: ClassifiedRequest, runRequest: () => Promise<ClaimedRequestEnd>): Promise<ClaimedRequestResult> => {
 	const key = {customer: request.customer, key: request.idempotencyKey ?? ''};
-	const decision = await context.claims.join({
+	const decision = await context.claims.claimOrWait({
 		key,
 		digest: request.digest,
 		request: request.id,
--- a/packages/router/src/host-context.ts
+++ b/packages/router/src/host-context.ts
@@ -4,7 +4,7 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {GrantClient} from '@gentianlift/scheduler';
 import type {
-	Account, ConfigurationVersion, CustomerId, HostAnswer, Incarnation, Rank, RequestId, Settings, UpstreamSighting, Zone,
+	Account, ConfigurationVersion, CustomerId, HostListResponse, Incarnation, Rank, RequestId, Settings, UpstreamObservation, Zone,
 } from '@gentianlift/types';
 import type {UpstreamClient} from '@gentianlift/upstream';
 import type {UpstreamDirectory} from './upstream-directory.js';
@@ -23,10 +23,10 @@
 	/** Returns the current configuration; undefined while the host has none, or is cut off from the key-value service and all other hosts. */
 	getConfiguration: () => ConfigurationVersion | undefined;
 	getDirectory: () => UpstreamDirectory;
-	getHostAnswer: (zone: Zone | undefined) => HostAnswer;
+	getHostAnswer: (zone: Zone | undefined) => HostListResponse;
 	/** Reads the account of a request from this host, another host or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
-	recordSighting: (sighting: UpstreamSighting) => void;
+	recordSighting: (sighting: UpstreamObservation) => void;
 	/** Returns the rank of the lowest tier that the host admits while it is overloaded; undefined if it admits all. */
 	getRankLimit: () => Rank | undefined;
 	/** Whether the host closes callers' connections after each response, so that their next request goes to another host. */
--- a/packages/router/src/host/demand-tracker.ts
+++ b/packages/router/src/host/demand-tracker.ts
@@ -1,14 +1,14 @@
 import type {AccountEvent, Accounts} from '@gentianlift/claims';
 import type {Clock} from '@gentianlift/clock';
 import type {
-	ClassifiedRequest, ClassName, Demand, Milliseconds, ModelName, RequestId,
+	ClassifiedRequest, ClassName, ModelDemand, Milliseconds, ModelName, RequestId,
 } from '@gentianlift/types';
 
 /** Tracks the demand of this host's callers, by class and by model or adapter. */
 export type DemandTracker = {
 	/** Accounts whose events also update the tracked demand. */
 	accounts: Accounts;
-	getDemands: () => Demand[];
+	getDemands: () => ModelDemand[];
 };
 
 type TrackedRequest = {
@@ -110,7 +110,7 @@
 		},
 		getDemands() {
 			dropExpired(clock.monotonic());
-			const demands = new Map<string, Demand>();
+			const demands = new Map<string, ModelDemand>();
 			for (const {className, needs, rank, target, startedAt, refusedUntil} of trackedRequests.values()) {
 				const key = `${className}\n${needs}`;
 				const demand = demands.get(key) ?? {
--- a/packages/router/src/host/engine-polling.ts
+++ b/packages/router/src/host/engine-polling.ts
@@ -1,6 +1,6 @@
 import type {Cancel, Clock, Random} from '@gentianlift/clock';
 import type {
-	CacheEvent, LoadReport, Milliseconds, UpstreamId,
+	CacheEvent, EngineLoadReport, Milliseconds, UpstreamId,
 } from '@gentianlift/types';
 import type {UpstreamClient} from '@gentianlift/upstream';
 import type {UpstreamEntry} from '../upstream-directory.js';
@@ -12,7 +12,7 @@
 	upstreams: Pick<UpstreamClient, 'readLoad' | 'readCacheEvents'>;
 	/** Returns the engines that this host schedules. */
 	getScheduledEngines: () => UpstreamEntry[];
-	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
+	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
 };
 
@@ -44,7 +44,7 @@
 		}
 
 		inFlight.add(engine.id);
-		await clock.sleep(random.below(pollInterval / 2));
+		await clock.sleep(random.nextInt(pollInterval / 2));
 		await poll(engine);
 		inFlight.delete(engine.id);
 	};
--- a/packages/router/src/host/fleet-facts.test.ts
+++ b/packages/router/src/host/fleet-facts.test.ts
@@ -1,9 +1,9 @@
 import {createManualClock} from '@gentianlift/clock';
-import type {HostId, LoadReport, PlacementFacts} from '@gentianlift/types';
+import type {HostId, EngineLoadReport, PlacementFacts} from '@gentianlift/types';
 import {expect, test} from 'vitest';
 import {startFleetFacts} from './fleet-facts.js';
 
-const report: LoadReport = {
+const report: EngineLoadReport = {
 	at: 0, running: 0, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: false,
 };
 
--- a/packages/router/src/host/fleet-facts.ts
+++ b/packages/router/src/host/fleet-facts.ts
@@ -1,13 +1,13 @@
 import type {Cancel, Clock} from '@gentianlift/clock';
 import type {
-	Demand, HostId, LoadReport, Milliseconds, PeerCalls, PlacementFacts, UpstreamId,
+	ModelDemand, HostId, EngineLoadReport, Milliseconds, PeerCalls, PlacementFacts, UpstreamId,
 } from '@gentianlift/types';
 import type {Fleet} from './fleet.js';
 
 /** Demand and load reports of all hosts, on which the placement of models is based, as far as this host has received them. */
 export type FleetFacts = {
-	getDemands: () => Demand[];
-	getReports: () => ReadonlyMap<UpstreamId, LoadReport>;
+	getDemands: () => ModelDemand[];
+	getReports: () => ReadonlyMap<UpstreamId, EngineLoadReport>;
 	stop: Cancel;
 };
 
--- a/packages/router/src/host/model-placement.ts
+++ b/packages/router/src/host/model-placement.ts
@@ -1,6 +1,6 @@
 import {createPlacement, type Placement} from '@gentianlift/placement';
 import type {
-	LoadReport, Milliseconds, PlacementFacts, UpstreamId,
+	EngineLoadReport, Milliseconds, PlacementFacts, UpstreamId,
 } from '@gentianlift/types';
 import type {Infrastructure} from './infrastructure.js';
 import type {DemandTracker} from './demand-tracker.js';
@@ -11,7 +11,7 @@
 export type ModelPlacement = {
 	placement: Placement;
 	/** Records the load report of an engine that this host schedules. */
-	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
+	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Returns the demand and load reports of this host, for the host that holds the placement lease. */
 	getOwnFacts: () => PlacementFacts;
 	stop: () => Promise<void>;
@@ -25,7 +25,7 @@
 /** Starts this host's part in placement. Only a few candidate hosts try to acquire the lease. */
 export const startModelPlacement = (infrastructure: Infrastructure, {fleet, peers, follower}: Network, demandTracker: DemandTracker): ModelPlacement => {
 	const {settings, incarnation, clock, upstreams} = infrastructure;
-	const ownReports = new Map<UpstreamId, {report: LoadReport; at: Milliseconds}>();
+	const ownReports = new Map<UpstreamId, {report: EngineLoadReport; at: Milliseconds}>();
 	const getOwnFacts = (): PlacementFacts => {
 		const recentReports = [...ownReports].filter(([, {at}]) => clock.monotonic() - at <= maxReportAge);
 		return {demands: demandTracker.getDemands(), reports: recentReports.map(([upstream, {report}]) => ({upstream, report}))};
@@ -38,7 +38,7 @@
 		...infrastructure,
 		self: {host: settings.host, incarnation},
 		sendOrder: async (engine, order) => upstreams.sendOrder(engine.address, order),
-		getDemand: facts.getDemands,
+		getDemands: facts.getDemands,
 		getConfiguration: () => follower.getCurrent()?.configuration,
 		getLoadReports: facts.getReports,
 		isCandidate: () => fleet.getOwners('placement', candidateCount).includes(settings.host),
--- a/packages/router/src/host/network.ts
+++ b/packages/router/src/host/network.ts
@@ -38,9 +38,9 @@
 		clock, random, metrics, keyValue, peers, self: host, parse: parseConfiguration, getMembers: fleet.getMembers, getOwners: fleet.getOwners,
 	});
 	membership.onChange(({after}) => {
-		follower.applyRumour(after.host, after.configurationVersion);
+		follower.recordAdvertisedVersion(after.host, after.configurationVersion);
 		if (after.state === 'gone') {
-			peers.retain(fleet.getMembers().filter(({state}) => state !== 'gone').map(member => member.host));
+			peers.closeAllExcept(fleet.getMembers().filter(({state}) => state !== 'gone').map(member => member.host));
 		}
 	});
 	follower.onChange(({version}) => {
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -52,7 +52,7 @@
 		return {ready: false, reason: shutdown.getState().kind};
 	}
 
-	const standing = follower.getStanding();
+	const standing = follower.getStatus();
 	switch (standing) {
 		case 'none': {
 			return {ready: false, reason: 'no configuration'};
@@ -104,7 +104,7 @@
 const createQueries = (options: OperatorActionsOptions): OperatorQueries => ({
 	getHealth: () => ({healthy: true}),
 	getReadiness: () => getReadiness(options),
-	getMetrics: options.metrics.getPage,
+	getMetrics: options.metrics.renderPrometheusText,
 	getStatus: () => getStatus(options),
 	getHosts: () => ({hosts: [...options.fleet.getMembers()]}),
 	getUpstreams: () => ({upstreams: getUpstreams(options)}),
--- a/packages/router/src/host/peer-handlers.ts
+++ b/packages/router/src/host/peer-handlers.ts
@@ -1,4 +1,4 @@
-import type {Accounts, ClaimOwner} from '@gentianlift/claims';
+import type {Accounts, ClaimStore} from '@gentianlift/claims';
 import type {ConfigurationFollower} from '@gentianlift/distribution';
 import type {PeerHandlers} from '@gentianlift/types';
 import type {ModelPlacement} from './model-placement.js';
@@ -7,14 +7,14 @@
 /** Dependencies of the handlers of peer calls. */
 export type PeerHandlersOptions = {
 	scheduling: Scheduling;
-	claimOwner: ClaimOwner;
+	claimStore: ClaimStore;
 	follower: ConfigurationFollower;
 	accounts: Accounts;
 	modelPlacement: Pick<ModelPlacement, 'getOwnFacts'>;
 };
 
 /** Creates the handlers of calls from other hosts. */
-export const createPeerHandlers = ({scheduling, claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
+export const createPeerHandlers = ({scheduling, claimStore: claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
 	exchangeGrants: async (from, message) => scheduling.groupOwner.handle(from, message),
 	async pushGrants(_from, message) {
 		scheduling.grants.applyDecisions(message);
--- a/packages/router/src/host/request-handling.ts
+++ b/packages/router/src/host/request-handling.ts
@@ -1,5 +1,5 @@
 import {
-	createAccounts, createClaimClient, createClaimOwner, createClaimRemoval,
+	createAccounts, createClaimClient, createClaimStore, createClaimRemoval,
 } from '@gentianlift/claims';
 import {createUpstreamDirectory, type UpstreamDirectory} from '../upstream-directory.js';
 import {createAccountReader} from './account-reader.js';
@@ -16,11 +16,11 @@
 const emptyDirectory: UpstreamDirectory = {byId: new Map(), byAddress: new Map()};
 
 const createClaims = ({clock, random, metrics, keyValue, settings}: Infrastructure, {fleet, peers}: Network) => {
-	const owner = createClaimOwner({
+	const owner = createClaimStore({
 		clock, random, metrics, keyValue, isGone: fleet.hasEnded,
 	});
 	const client = createClaimClient({
-		clock, random, metrics, self: settings.host, keyValue, peers, getOwner: fleet.getOwnerOf, owner, isGone: fleet.hasEnded,
+		clock, random, metrics, self: settings.host, keyValue, peers, getOwner: fleet.getOwnerOf, claimStore: owner, isGone: fleet.hasEnded,
 	});
 	const removal = createClaimRemoval({
 		clock, metrics, self: settings.host, keyValue, getOwner: fleet.getOwnerOf,
--- a/packages/router/src/host/start-host.ts
+++ b/packages/router/src/host/start-host.ts
@@ -54,7 +54,7 @@
 	claims: requestHandling.claims.client,
 	accounts: requestHandling.accounts,
 	createRequestId: createRequestIds(infrastructure.settings.host, infrastructure.incarnation),
-	getConfiguration: () => network.follower.getStanding() === 'isolated' ? undefined : network.follower.getCurrent(),
+	getConfiguration: () => network.follower.getStatus() === 'isolated' ? undefined : network.follower.getCurrent(),
 	getDirectory: requestHandling.getDirectory,
 	getHostAnswer: network.fleet.getHostAnswer,
 	readAccount: requestHandling.readAccount,
@@ -124,7 +124,7 @@
 	await listen(operatorServer, settings.operatorAddress);
 	const peerServer = await startPeerServer({
 		self: settings.host, address: settings.peerAddress, keys: settings.peerKeys, clock, metrics,
-		handlers: createPeerHandlers({...network, ...requestHandling, claimOwner: requestHandling.claims.owner}),
+		handlers: createPeerHandlers({...network, ...requestHandling, claimStore: requestHandling.claims.owner}),
 	});
 	await network.membership.start();
 	await listen(callerServer, settings.callerAddress);
--- a/packages/router/src/host/suspect-gossip.test.ts
+++ b/packages/router/src/host/suspect-gossip.test.ts
@@ -1,13 +1,13 @@
 import {createManualClock} from '@gentianlift/clock';
-import type {NoteContent} from '@gentianlift/membership';
+import type {AnnouncementContent} from '@gentianlift/membership';
 import type {Suspects} from '@gentianlift/policy';
-import type {Note} from '@gentianlift/types';
+import type {Announcement} from '@gentianlift/types';
 import {expect, test} from 'vitest';
 import {startSuspectGossip} from './suspect-gossip.js';
 
 test('suspects reach another host once, and aren\'t published back', async () => {
 	const clock = createManualClock();
-	const listeners: Array<(note: Note) => void> = [];
+	const listeners: Array<(note: Announcement) => void> = [];
 	const published: string[] = [];
 	const createHost = (self: string) => {
 		let suspects: Suspects = new Map();
@@ -15,11 +15,11 @@
 			clock,
 			self,
 			membership: {
-				onNote(listener) {
+				onAnnouncement(listener) {
 					listeners.push(listener);
 					return () => undefined;
 				},
-				publishNote(content: NoteContent) {
+				publishAnnouncement(content: AnnouncementContent) {
 					published.push(`${self} ${content.key} ${content.value}`);
 					for (const listener of listeners) {
 						listener({...content, host: self, sequence: published.length});
--- a/packages/router/src/host/suspect-gossip.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -2,20 +2,20 @@
 import type {Membership} from '@gentianlift/membership';
 import type {Suspect} from '@gentianlift/policy';
 import type {GroupOwner} from '@gentianlift/scheduler';
-import type {HostId, Milliseconds, Note} from '@gentianlift/types';
+import type {HostId, Milliseconds, Announcement} from '@gentianlift/types';
 
 /** Dependencies of the exchange of suspects. */
 export type SuspectGossipOptions = {
 	clock: Clock;
 	self: HostId;
-	membership: Pick<Membership, 'onNote' | 'publishNote'>;
+	membership: Pick<Membership, 'onAnnouncement' | 'publishAnnouncement'>;
 	groupOwner: Pick<GroupOwner, 'mergeSuspects' | 'getSuspects'>;
 };
 
 const publishInterval: Milliseconds = 500;
 const crashSeparator = ',';
 
-const getSuspect = ({key, value, duration}: Note, now: Milliseconds): Suspect =>
+const getSuspect = ({key, value, duration}: Announcement, now: Milliseconds): Suspect =>
 	({fingerprint: key, crashes: value.split(crashSeparator), expiresAt: now + duration});
 
 /**
@@ -29,7 +29,7 @@
 
 	const publish = ({fingerprint, crashes, expiresAt}: Suspect): void => {
 		knownCrashCounts.set(fingerprint, crashes.length);
-		membership.publishNote({
+		membership.publishAnnouncement({
 			topic: 'suspect-request', key: fingerprint, value: crashes.join(crashSeparator), duration: expiresAt - clock.now(),
 		});
 	};
@@ -48,7 +48,7 @@
 			}
 		}
 	});
-	const cancelListener = membership.onNote(note => {
+	const cancelListener = membership.onAnnouncement(note => {
 		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
 			knownCrashCounts.set(note.key, note.value.split(crashSeparator).length);
 			groupOwner.mergeSuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
--- a/packages/router/src/host/upstream-monitor.test.ts
+++ b/packages/router/src/host/upstream-monitor.test.ts
@@ -2,17 +2,17 @@
 import {createLogger} from '@gentianlift/logger';
 import {createMetrics} from '@gentianlift/metrics';
 import type {GroupOwner} from '@gentianlift/scheduler';
-import type {LoadReport, Note} from '@gentianlift/types';
+import type {EngineLoadReport, Announcement} from '@gentianlift/types';
 import {expect, test} from 'vitest';
 import {startUpstreamMonitor, type UpstreamMonitorOptions} from './upstream-monitor.js';
 
-const leavingReport: LoadReport = {
+const leavingReport: EngineLoadReport = {
 	at: 0, running: 1, waiting: 0, cacheUse: 0, tokensPerSecond: 0, models: [], adapters: [], role: 'mixed', leaving: true,
 };
 
 test('an engine that is still leaving stays excluded, and its announcement is renewed before it expires', async () => {
 	const clock = createManualClock();
-	const published: Array<Pick<Note, 'key' | 'value'>> = [];
+	const published: Array<Pick<Announcement, 'key' | 'value'>> = [];
 	const options = {
 		clock,
 		random: createRandom(1),
@@ -20,15 +20,15 @@
 		logger: createLogger('error'),
 		self: 'h0',
 		membership: {
-			onNote: () => () => undefined,
-			publishNote(note: Pick<Note, 'key' | 'value'>) {
-				published.push(note);
+			onAnnouncement: () => () => undefined,
+			publishAnnouncement(announcement: Pick<Announcement, 'key' | 'value'>) {
+				published.push(announcement);
 				return true;
 			},
 		},
 		hostList: {readHosts: async () => []},
 		upstreams: {checkHealth: async () => 'success' as const},
-		groupOwner: {applyLoadReport: () => undefined, applyStanding: () => undefined} as unknown as GroupOwner,
+		groupOwner: {applyLoadReport: () => undefined, applyAvailability: () => undefined} as unknown as GroupOwner,
 		getGroups: () => [],
 		getDirectory: () => ({byId: new Map(), byAddress: new Map()}),
 	};
--- a/packages/router/src/host/upstream-monitor.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -5,22 +5,22 @@
 import type {Group} from '@gentianlift/policy';
 import type {GroupOwner} from '@gentianlift/scheduler';
 import {
-	createUpstreamHealth, type LeavingSource, type Standing, type UpstreamClient, type UpstreamHealth,
+	createUpstreamHealth, type LeavingSource, type UpstreamAvailability, type UpstreamClient, type UpstreamHealth,
 } from '@gentianlift/upstream';
 import type {
-	HostId, HostList, LoadReport, Milliseconds, Note, UpstreamId, UpstreamSighting,
+	HostId, HostList, EngineLoadReport, Milliseconds, Announcement, UpstreamId, UpstreamObservation,
 } from '@gentianlift/types';
 import type {UpstreamDirectory} from '../upstream-directory.js';
 
 /** Health of upstreams as seen by this host, from its own traffic, other hosts, load reports, the host list and operators. */
 export type UpstreamMonitor = {
 	/** Records what an attempt of this host has shown about an upstream. */
-	recordSighting: (sighting: UpstreamSighting) => void;
+	recordSighting: (sighting: UpstreamObservation) => void;
 	/** Records a load report; if the engine is leaving, announces this to all hosts. */
-	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
+	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Announces to all hosts that an operator drains an upstream, or has ended the drain. */
 	setOperatorDrain: (upstream: UpstreamId, isLeaving: boolean) => void;
-	getStanding: (upstream: UpstreamId) => Standing;
+	getStanding: (upstream: UpstreamId) => UpstreamAvailability;
 	stop: Cancel;
 };
 
@@ -46,10 +46,10 @@
 const leavingLifetime: Milliseconds = 30_000;
 const operatorDrainLifetime: Milliseconds = 24 * 60 * 60 * 1000;
 
-const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamSighting['kind']>;
+const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamObservation['kind']>;
 
 /** Applies an announcement of another host to the health of upstreams. */
-const applyAnnouncement = (health: UpstreamHealth, clock: Clock, note: Note): void => {
+const applyAnnouncement = (health: UpstreamHealth, clock: Clock, note: Announcement): void => {
 	switch (note.topic) {
 		case 'upstream-failed': {
 			const kind = sightingKinds.find(name => name === note.value);
@@ -75,13 +75,13 @@
 
 /** Creates a check that passes changes of an upstream's standing on to the owner of its group. */
 const createStandingCheck = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamMonitorOptions) => {
-	const reportedStandings = new Map<UpstreamId, Standing>();
+	const reportedStandings = new Map<UpstreamId, UpstreamAvailability>();
 	return (): void => {
 		for (const id of getDirectory().byId.keys()) {
-			const standing = health.getStanding(id);
+			const standing = health.getAvailability(id);
 			if (standing !== (reportedStandings.get(id) ?? 'available')) {
 				reportedStandings.set(id, standing);
-				groupOwner.applyStanding(id, standing);
+				groupOwner.applyAvailability(id, standing);
 				logger.info('upstream-standing', {upstream: id, standing});
 			}
 		}
@@ -122,7 +122,7 @@
 	};
 
 	return every(pollInterval, () => {
-		for (const id of health.getProbing()) {
+		for (const id of health.getProbingUpstreams()) {
 			void probe(id);
 		}
 	});
@@ -135,7 +135,7 @@
 	} = options;
 	const {every} = clock;
 	const health = createUpstreamHealth({
-		clock, random, metrics, self, getPeers: id => getGroups().find(group => group.upstreams.some(item => item.id === id))?.upstreams.map(item => item.id) ?? [id],
+		clock, random, metrics, self, getEquivalentUpstreams: id => getGroups().find(group => group.upstreams.some(item => item.id === id))?.upstreams.map(item => item.id) ?? [id],
 	});
 	const checkStandings = createStandingCheck(health, options);
 
@@ -143,7 +143,7 @@
 	const announceLeaving = (upstream: UpstreamId): void => {
 		announcedAt.set(upstream, clock.monotonic());
 		health.setLeaving(upstream, 'upstream', true);
-		membership.publishNote({
+		membership.publishAnnouncement({
 			topic: 'upstream-leaving', key: upstream, value: 'upstream', duration: leavingLifetime,
 		});
 		checkStandings();
@@ -158,12 +158,12 @@
 	};
 
 	health.onEject(({upstream, kind}) => {
-		membership.publishNote({
+		membership.publishAnnouncement({
 			topic: 'upstream-failed', key: upstream, value: kind, duration: failureLifetime,
 		});
 	});
 	const cancels = [
-		membership.onNote(note => {
+		membership.onAnnouncement(note => {
 			if (note.host !== self) {
 				applyAnnouncement(health, clock, note);
 			}
@@ -193,12 +193,12 @@
 		},
 		setOperatorDrain(upstream, isLeaving) {
 			health.setLeaving(upstream, 'operator', isLeaving);
-			membership.publishNote({
+			membership.publishAnnouncement({
 				topic: 'upstream-leaving', key: upstream, value: isLeaving ? 'operator' : 'operator-back', duration: operatorDrainLifetime,
 			});
 			checkStandings();
 		},
-		getStanding: health.getStanding,
+		getStanding: health.getAvailability,
 		stop() {
 			for (const cancel of cancels) {
 				cancel();
--- a/packages/router/src/operators/operator-server.ts
+++ b/packages/router/src/operators/operator-server.ts
@@ -1,7 +1,7 @@
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
-import {createFailure, getFailure} from '@gentianlift/errors';
+import {createFailure, toRequestFailure} from '@gentianlift/errors';
 import {sendFailure, sendJson} from '../callers/send-response.js';
 import type {OperatorCommands} from './commands/index.js';
 import type {OperatorQueries} from './queries/index.js';
@@ -93,6 +93,6 @@
 /** Creates the HTTP server for operators. It isn't listening yet. */
 export const createOperatorServer = (actions: OperatorActions): Server => createServer((request, response) => {
 	handleRequest(actions, request, response).catch((error: unknown) => {
-		sendFailure(response, getFailure(error), '');
+		sendFailure(response, toRequestFailure(error), '');
 	});
 });
--- a/packages/router/src/testing/start-fleet.ts
+++ b/packages/router/src/testing/start-fleet.ts
@@ -1,7 +1,7 @@
 import {createSystemClock} from '@gentianlift/clock';
 import {parseSettings} from '@gentianlift/config';
 import {
-	countPorts, findPorts, getFleetSettings, getStandinConfiguration, publishConfiguration, readExample, startStandins, type Standins,
+	countPorts, findPorts, getFleetSettings, getTrialConfiguration, publishConfiguration, readExample, startFakes, type Fakes,
 } from '@gentianlift/trial';
 import type {Configuration, Settings} from '@gentianlift/types';
 import {startHost, type RunningHost} from '../host/start-host.js';
@@ -15,7 +15,7 @@
 
 /** Fake platform services, fake upstreams and hosts that run in the process of the test. */
 export type TestFleet = {
-	fakes: Standins;
+	fakes: Fakes;
 	configuration: Configuration;
 	hosts: TestHost[];
 	/** API key of a customer that may use all classes of the Kopi example. */
@@ -48,8 +48,8 @@
 /** Starts the Kopi example with `count` hosts; the `extra` settings apply to each of them. */
 export const startFleet = async (count: number, extra: Partial<Settings> = {}): Promise<TestFleet> => {
 	const {configuration: example, keys} = await readExample('kopi');
-	const fakes = await startStandins(example.inventory, {stepTime: 5, meanTokens: 20, eventLoss: 0});
-	const configuration = getStandinConfiguration(example, fakes.addresses);
+	const fakes = await startFakes(example.inventory, {stepTime: 5, meanTokens: 20, eventLossProbability: 0});
+	const configuration = getTrialConfiguration(example, fakes.addresses);
 	publishConfiguration(fakes.keyValue, configuration, createSystemClock().now());
 	const settingsDocuments = getFleetSettings({
 		zones: ['attica-a', 'attica-b', 'attica-c'],
--- a/packages/router/src/upstream-directory.ts
+++ b/packages/router/src/upstream-directory.ts
@@ -1,5 +1,5 @@
 import type {
-	Address, Configuration, Fencing, UpstreamId, Zone,
+	Address, Configuration, FencingSupport, UpstreamId, Zone,
 } from '@gentianlift/types';
 
 /** Address and properties of an upstream that the router needs to call it. */
@@ -9,7 +9,7 @@
 	address: Address;
 	zone: Zone;
 	/** Undefined for service instances, which have no fencing. */
-	fencing?: Fencing;
+	fencing?: FencingSupport;
 };
 
 /** Upstreams of a configuration by id and by address. */
--- a/packages/scheduler/src/client/baseline.ts
+++ b/packages/scheduler/src/client/baseline.ts
@@ -13,7 +13,7 @@
 /** Creates a baseline: round robin (`first-in-first-out`), or the upstream with the fewest outstanding requests of this host. */
 export const createBaseline = (order: Exclude<Settings['order'], 'policy'>, random: Random): Baseline => {
 	const outstanding = new Map<UpstreamId, number>();
-	let nextIndex = random.below(1024);
+	let nextIndex = random.nextInt(1024);
 
 	const selectUpstream = (eligible: readonly GroupUpstream[]): UpstreamId | undefined => {
 		switch (order) {
--- a/packages/scheduler/src/client/exchange.ts
+++ b/packages/scheduler/src/client/exchange.ts
@@ -1,5 +1,5 @@
 import type {
-	GrantAnswer, GrantRequest, HostId, Milliseconds, PeerOutcome,
+	GrantResponse, GrantRequest, HostId, Milliseconds, PeerOutcome,
 } from '@gentianlift/types';
 import {countMessage} from '../count-message.js';
 import {
@@ -22,9 +22,9 @@
 /** Exchanges batches with the owners of groups; while an owner can't be reached, with this host's own owner in degraded mode. */
 export class Exchange {
 	readonly #options: GrantClientOptions;
-	readonly #apply: (answer: GrantAnswer) => void;
+	readonly #apply: (answer: GrantResponse) => void;
 
-	constructor(options: GrantClientOptions, apply: (answer: GrantAnswer) => void) {
+	constructor(options: GrantClientOptions, apply: (answer: GrantResponse) => void) {
 		this.#options = options;
 		this.#apply = apply;
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 
-	async #call(session: GroupSession, owner: HostId, message: GrantRequest): Promise<PeerOutcome<GrantAnswer>> {
+	async #call(session: GroupSession, owner: HostId, message: GrantRequest): Promise<PeerOutcome<GrantResponse>> {
 		session.inFlight++;
 		const outcome = await this.#options.peers.exchangeGrants(owner, message);
 		session.inFlight--;
@@ -92,7 +92,7 @@
 		restoreBatch(session, batch);
 		const message: GrantRequest = {...batch, asks: [], ends: []};
 		delete message.held;
-		const outcome: PeerOutcome<GrantAnswer> = owner === self
+		const outcome: PeerOutcome<GrantResponse> = owner === self
 			? {kind: 'answered', answer: getLocalOwner().handle(self, message)}
 			: await this.#call(session, owner, message);
 		if (outcome.kind === 'answered' && outcome.answer.owner) {
@@ -116,7 +116,7 @@
 		this.#options.metrics.count('grant_lines_recovered');
 	}
 
-	#handleOutcome(session: GroupSession, message: GrantRequest, outcome: PeerOutcome<GrantAnswer>): void {
+	#handleOutcome(session: GroupSession, message: GrantRequest, outcome: PeerOutcome<GrantResponse>): void {
 		switch (outcome.kind) {
 			case 'answered': {
 				this.#handleAnswer(session, message, outcome.answer);
@@ -133,7 +133,7 @@
 		}
 	}
 
-	#handleAnswer(session: GroupSession, message: GrantRequest, answer: GrantAnswer): void {
+	#handleAnswer(session: GroupSession, message: GrantRequest, answer: GrantResponse): void {
 		if (!answer.owner) {
 			this.#options.metrics.count('grant_exchange_failures', {kind: 'not-owner'});
 			restoreBatch(session, message);
--- a/packages/scheduler/src/client/policy-client.ts
+++ b/packages/scheduler/src/client/policy-client.ts
@@ -1,7 +1,7 @@
 import type {Cancel} from '@gentianlift/clock';
 import {getGroupsFor} from '@gentianlift/policy';
 import type {
-	ClassifiedRequest, Decision, GrantAnswer, GroupId, Milliseconds, Rank, RequestId, TicketEnd,
+	ClassifiedRequest, GrantDecision, GrantResponse, GroupId, Milliseconds, Rank, RequestId, TicketEnd,
 } from '@gentianlift/types';
 import {chooseGroup, createWaitEstimates} from './choose-group.js';
 import {Exchange} from './exchange.js';
@@ -83,7 +83,7 @@
 		}
 	};
 
-	readonly applyDecisions = (answer: GrantAnswer): void => {
+	readonly applyDecisions = (answer: GrantResponse): void => {
 		for (const decision of answer.decisions) {
 			this.#applyDecision(answer.group, decision);
 		}
@@ -173,7 +173,7 @@
 		this.#exchange.flush(session);
 	}
 
-	#applyDecision(group: GroupId, decision: Decision): void {
+	#applyDecision(group: GroupId, decision: GrantDecision): void {
 		const held = this.#heldRequests.get(decision.request);
 		if (held?.group === group && held.ticket.attempt === decision.attempt) {
 			this.#applyToCurrentAttempt(held, decision);
@@ -183,7 +183,7 @@
 		}
 	}
 
-	#applyToCurrentAttempt(held: HeldRequest, decision: Decision): void {
+	#applyToCurrentAttempt(held: HeldRequest, decision: GrantDecision): void {
 		if (decision.kind === 'yield') {
 			held.preemptionController.abort();
 		} else if (held.upstream === undefined) {
@@ -191,7 +191,7 @@
 		}
 	}
 
-	#applyToWaiting(held: HeldRequest, decision: Exclude<Decision, {kind: 'yield'}>): void {
+	#applyToWaiting(held: HeldRequest, decision: Exclude<GrantDecision, {kind: 'yield'}>): void {
 		switch (decision.kind) {
 			case 'granted': {
 				held.upstream = decision.upstream;
--- a/packages/scheduler/src/client/tickets.ts
+++ b/packages/scheduler/src/client/tickets.ts
@@ -1,6 +1,6 @@
 import {getNeeds} from '@gentianlift/policy';
 import type {
-	ClassifiedRequest, HeldTicket, Milliseconds, Ticket, TicketEnd,
+	ClassifiedRequest, ActiveTicket, Milliseconds, Ticket, TicketEnd,
 } from '@gentianlift/types';
 import type {GrantOptions, HeldRequest} from './types.js';
 
@@ -45,8 +45,8 @@
 };
 
 /** Creates a heartbeat's entry for a request. */
-export const createHeldTicket = (heldRequest: HeldRequest, now: Milliseconds, withTicket: boolean): HeldTicket => {
-	const held: HeldTicket = {request: heldRequest.ticket.request, attempt: heldRequest.ticket.attempt};
+export const createHeldTicket = (heldRequest: HeldRequest, now: Milliseconds, withTicket: boolean): ActiveTicket => {
+	const held: ActiveTicket = {request: heldRequest.ticket.request, attempt: heldRequest.ticket.attempt};
 	if (heldRequest.upstream !== undefined) {
 		held.upstream = heldRequest.upstream;
 	}
--- a/packages/scheduler/src/client/types.ts
+++ b/packages/scheduler/src/client/types.ts
@@ -2,7 +2,7 @@
 import type {Metrics} from '@gentianlift/metrics';
 import type {Group} from '@gentianlift/policy';
 import type {
-	ClassifiedRequest, GrantAnswer, GroupId, HostId, Incarnation, Milliseconds, PeerCalls, Rank, RequestId, Settings, ShedReason, Ticket, TicketEnd, UpstreamId,
+	ClassifiedRequest, GrantResponse, GroupId, HostId, Incarnation, Milliseconds, PeerCalls, Rank, RequestId, Settings, ShedReason, Ticket, TicketEnd, UpstreamId,
 } from '@gentianlift/types';
 import type {GroupOwner, Mechanism} from '../owner/index.js';
 
@@ -65,7 +65,7 @@
 	/** Withdraws a waiting request, for example when its caller has disconnected. */
 	withdraw: (request: RequestId) => void;
 	/** Applies the decisions that an owner has pushed. */
-	applyDecisions: (answer: GrantAnswer) => void;
+	applyDecisions: (answer: GrantResponse) => void;
 	/** Returns the numbers of waiting and running requests, and the memory in bytes that the waiting ones take up. */
 	getCounts: () => {waiting: number; running: number; bytes: number};
 	stop: () => void;
--- a/packages/scheduler/src/grants.test.ts
+++ b/packages/scheduler/src/grants.test.ts
@@ -166,7 +166,7 @@
 
 test('sends nothing to an upstream that is leaving', async () => {
 	const {fleet, a} = createPair([1, 1]);
-	a.owner.applyStanding('e0', 'leaving');
+	a.owner.applyAvailability('e0', 'leaving');
 	const grants = ['x', 'y'].map(id => recordGrant(a, createTestRequest(fleet, id)));
 	await fleet.clock.advance(20);
 	expect(grants.map(({grant}) => grant?.kind === 'granted' ? grant.upstream : undefined)).toEqual(['e1', undefined]);
--- a/packages/scheduler/src/owner/commands/entries.ts
+++ b/packages/scheduler/src/owner/commands/entries.ts
@@ -2,7 +2,7 @@
 	chargeService, advanceVirtualTime, getSuspectStatus, canProvide,
 } from '@gentianlift/policy';
 import type {
-	Decision, HostId, ShedReason, Ticket, UpstreamId,
+	GrantDecision, HostId, ShedReason, Ticket, UpstreamId,
 } from '@gentianlift/types';
 import type {Assignment} from '../grant-queue.js';
 import {getPrecedence} from '../queries/precedence.js';
@@ -19,7 +19,7 @@
 export type TicketOrigin = {host: HostId; incarnation: number; sequence: number};
 
 /** Adds a decision to the next message to a host. */
-export const addDecision = (state: GroupState, host: HostId, decision: Decision): void => {
+export const addDecision = (state: GroupState, host: HostId, decision: GrantDecision): void => {
 	const decisions = state.outbox.get(host) ?? [];
 	decisions.push(decision);
 	state.outbox.set(host, decisions);
--- a/packages/scheduler/src/owner/commands/messages.ts
+++ b/packages/scheduler/src/owner/commands/messages.ts
@@ -1,6 +1,6 @@
 import {getSuspectStatus} from '@gentianlift/policy';
 import type {
-	GrantRequest, HeldTicket, RequestId, Ticket, TicketEnd,
+	GrantRequest, ActiveTicket, RequestId, Ticket, TicketEnd,
 } from '@gentianlift/types';
 import {type TrackedTicket, type GroupState} from '../state.js';
 import {
@@ -90,7 +90,7 @@
 };
 
 /** Repairs the effects of lost messages: removes the entries that the host no longer holds, and adds those that are unknown. */
-const reconcileHeldTickets = (state: GroupState, held: readonly HeldTicket[], origin: TicketOrigin): RequestId[] => {
+const reconcileHeldTickets = (state: GroupState, held: readonly ActiveTicket[], origin: TicketOrigin): RequestId[] => {
 	const byRequest = new Map(held.map(item => [item.request, item]));
 	for (const entry of state.entries.values()) {
 		const isNoLongerHeld = byRequest.get(entry.ticket.request)?.attempt !== entry.ticket.attempt;
@@ -106,7 +106,7 @@
 	return [...running, ...waiting].filter(item => !reconcileHeldTicket(state, item, origin)).map(({request}) => request);
 };
 
-const reconcileHeldTicket = (state: GroupState, {request, attempt, upstream, ticket}: HeldTicket, origin: TicketOrigin): boolean => {
+const reconcileHeldTicket = (state: GroupState, {request, attempt, upstream, ticket}: ActiveTicket, origin: TicketOrigin): boolean => {
 	const known = state.entries.get(request);
 	if (known?.ticket.attempt === attempt) {
 		refreshEntry(state, known);
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -2,7 +2,7 @@
 import type {Metrics} from '@gentianlift/metrics';
 import {type Group, getGroups, type Suspects} from '@gentianlift/policy';
 import type {
-	CacheEvent, ConfigurationVersion, GrantAnswer, GrantRequest, GroupId, HostId, LoadReport, Milliseconds, UpstreamId, UpstreamSighting, Zone,
+	CacheEvent, ConfigurationVersion, GrantResponse, GrantRequest, GroupId, HostId, EngineLoadReport, Milliseconds, UpstreamId, UpstreamObservation, Zone,
 } from '@gentianlift/types';
 import {countMessage} from '../count-message.js';
 import {recordCrash} from './commands/crash.js';
@@ -13,7 +13,7 @@
 import {getExpectedWaits, getGrantOrder} from './queries/grant-order.js';
 import {getGroupOverview, type GroupOverview} from './queries/overview.js';
 import type {
-	GroupState, Mechanism, OwnerContext, Standing, UpstreamState,
+	GroupState, Mechanism, OwnerContext, UpstreamAvailability, UpstreamState,
 } from './state.js';
 import {createUpstreamRegistry, type UpstreamRegistry} from './upstream-registry.js';
 
@@ -34,7 +34,7 @@
 	/** Returns the host that owns a group in this host's view. */
 	getOwnerOf: (group: GroupId) => HostId | undefined;
 	/** Sends decisions to a host, this one included. */
-	push: (host: HostId, answer: GrantAnswer) => void;
+	push: (host: HostId, answer: GrantResponse) => void;
 	/** Mechanisms that are switched off. */
 	disabledMechanisms?: readonly Mechanism[];
 };
@@ -46,17 +46,17 @@
  */
 export type GroupOwner = {
 	/** Handles a batch of a host. */
-	handle: (from: HostId, message: GrantRequest) => GrantAnswer;
+	handle: (from: HostId, message: GrantRequest) => GrantResponse;
 	/** Handles this host's own batch for a group whose owner can't be reached. */
-	handleDegraded: (message: GrantRequest) => GrantAnswer;
+	handleDegraded: (message: GrantRequest) => GrantResponse;
 	/** Applies a new configuration to all groups. */
 	applyConfiguration: (version: ConfigurationVersion) => void;
 	/** Records the latest load report of an upstream, and grants slots that it shows to be free. */
-	applyLoadReport: (upstream: UpstreamId, report: LoadReport) => void;
+	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Records that a host has seen an upstream leave or crash; other kinds have no effect here. */
-	applySighting: (sighting: UpstreamSighting) => void;
+	applySighting: (sighting: UpstreamObservation) => void;
 	/** Records the availability of an upstream. */
-	applyStanding: (upstream: UpstreamId, standing: Standing) => void;
+	applyAvailability: (upstream: UpstreamId, standing: UpstreamAvailability) => void;
 	/** Records prefixes that an upstream has stored in its cache or evicted from it. */
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
 	/** Returns the requests suspected of crashing upstreams, by fingerprint. */
@@ -100,13 +100,13 @@
 		});
 	}
 
-	readonly handle = (from: HostId, message: GrantRequest): GrantAnswer => {
+	readonly handle = (from: HostId, message: GrantRequest): GrantResponse => {
 		const {group} = message;
 		const state = this.#isOwned(group) ? this.#getState(this.#owned, group, 1) : undefined;
 		return state === undefined ? {owner: false, group, decisions: []} : handleMessage(state, from, message, this.#options.push);
 	};
 
-	readonly handleDegraded = (message: GrantRequest): GrantAnswer => {
+	readonly handleDegraded = (message: GrantRequest): GrantResponse => {
 		const {group} = message;
 		const ownerSlotFraction = 1 / Math.max(1, this.#options.getHosts().length);
 		const state = this.#getState(this.#degraded, group, ownerSlotFraction);
@@ -122,12 +122,12 @@
 		}
 	};
 
-	readonly applyLoadReport = (upstream: UpstreamId, report: LoadReport): void => {
+	readonly applyLoadReport = (upstream: UpstreamId, report: EngineLoadReport): void => {
 		this.#registry.applyLoadReport(upstream, report, this.#getUpstreamStates(upstream));
 		this.#grantFreeSlots();
 	};
 
-	readonly applyStanding = (upstream: UpstreamId, standing: Standing): void => {
+	readonly applyAvailability = (upstream: UpstreamId, standing: UpstreamAvailability): void => {
 		this.#registry.applyStanding(upstream, standing, this.#getUpstreamStates(upstream));
 		this.#grantFreeSlots();
 	};
@@ -136,9 +136,9 @@
 		this.#registry.applyCacheEvents(events, this.#getUpstreamStates(upstream));
 	};
 
-	readonly applySighting = ({upstream, kind}: UpstreamSighting): void => {
+	readonly applySighting = ({upstream, kind}: UpstreamObservation): void => {
 		if (kind === 'leaving') {
-			this.applyStanding(upstream, 'leaving');
+			this.applyAvailability(upstream, 'leaving');
 		}
 
 		for (const state of kind === 'crashed' ? this.#getStates() : []) {
@@ -216,14 +216,14 @@
 	suspects: new Map(),
 });
 
-const handleMessage = (state: GroupState, from: HostId, message: GrantRequest, push: GroupOwnerOptions['push']): GrantAnswer => {
+const handleMessage = (state: GroupState, from: HostId, message: GrantRequest, push: GroupOwnerOptions['push']): GrantResponse => {
 	const wanted = applyMessage(state, message);
 	runPassIfDue(state);
 	addExpectedWaits(state, from, message);
 	const decisions = state.outbox.get(from) ?? [];
 	state.outbox.delete(from);
 	flushOutbox(state, push);
-	const reply: GrantAnswer = {owner: true, group: state.group.id, decisions};
+	const reply: GrantResponse = {owner: true, group: state.group.id, decisions};
 	return wanted.length === 0 ? reply : {...reply, wanted};
 };
 
--- a/packages/scheduler/src/owner/index.ts
+++ b/packages/scheduler/src/owner/index.ts
@@ -1,5 +1,5 @@
 export {
-	mechanisms, standings, type Mechanism, type Standing,
+	mechanisms, upstreamAvailabilities, type Mechanism, type UpstreamAvailability,
 } from './state.js';
 export * from './create-group-owner.js';
 export type {GroupOverview, RankOverview} from './queries/overview.js';
--- a/packages/scheduler/src/owner/queries/overview.ts
+++ b/packages/scheduler/src/owner/queries/overview.ts
@@ -1,7 +1,7 @@
 import type {
 	GroupId, Milliseconds, Rank, UpstreamId,
 } from '@gentianlift/types';
-import type {GroupState, Standing} from '../state.js';
+import type {GroupState, UpstreamAvailability} from '../state.js';
 import {getCapacityForecast} from './forecast.js';
 
 /** Numbers of waiting and running tickets of a tier. */
@@ -16,7 +16,7 @@
 	ranks: RankOverview[];
 	/** Waiting tickets by the models, adapters and services that they need, for decisions on which models to load. */
 	demand: Array<{needs: string[]; waiting: number; minSlack: Milliseconds; rank: Rank}>;
-	upstreams: Array<{upstream: UpstreamId; standing: Standing; running: number; timePerOutputToken: Milliseconds}>;
+	upstreams: Array<{upstream: UpstreamId; standing: UpstreamAvailability; running: number; timePerOutputToken: Milliseconds}>;
 };
 
 /** Returns the overview of a group. */
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -5,7 +5,7 @@
 	Estimate, FloorDebts, Group, GroupUpstream, FairShares, Suspects, QueuedTicket,
 } from '@gentianlift/policy';
 import type {
-	Decision, HostId, Incarnation, LoadReport, Milliseconds, Rank, RequestId, Tier, UpstreamId, Zone,
+	GrantDecision, HostId, Incarnation, EngineLoadReport, Milliseconds, Rank, RequestId, Tier, UpstreamId, Zone,
 } from '@gentianlift/types';
 import type {GrantQueue, GrantQueueOptions} from './grant-queue.js';
 
@@ -16,9 +16,9 @@
  * - `ejected`: it has failed, and gets no requests.
  * - `leaving`: it drains or shuts down, and gets no new requests.
  */
-export const standings = ['available', 'probing', 'ejected', 'leaving'] as const;
+export const upstreamAvailabilities = ['available', 'probing', 'ejected', 'leaving'] as const;
 /** One of the availabilities above. */
-export type Standing = typeof standings[number];
+export type UpstreamAvailability = typeof upstreamAvailabilities[number];
 
 /**
  * Mechanisms that can be switched off, for measurements with one mechanism switched off:
@@ -61,9 +61,9 @@
 /** The owner's view of an upstream. */
 export type UpstreamState = {
 	upstream: GroupUpstream;
-	standing: Standing;
+	standing: UpstreamAvailability;
 	/** Latest load report. `measuredAt` is the time of the measurement, converted to the owner's monotonic clock. */
-	load?: {report: LoadReport; measuredAt: Milliseconds; receivedAt: Milliseconds};
+	load?: {report: EngineLoadReport; measuredAt: Milliseconds; receivedAt: Milliseconds};
 	running: Set<TrackedTicket>;
 	recentRuns: CompletedRun[];
 	/** Digests of the prompt prefixes that its cache is assumed to hold, least recently used first. */
@@ -120,7 +120,7 @@
 	/** Fraction of each upstream's slots that this owner may use: 1 at the group's owner, and in degraded mode, when that owner can't be reached, this host's share. */
 	ownerSlotFraction: number;
 	/** Decisions that are not sent yet, by host. */
-	readonly outbox: Map<HostId, Decision[]>;
+	readonly outbox: Map<HostId, GrantDecision[]>;
 	readonly latestSequences: Map<HostId, {incarnation: Incarnation; sequence: number}>;
 	readonly queue: PQueue<GrantQueue, GrantQueueOptions>;
 	nextSequence: number;
--- a/packages/scheduler/src/owner/upstream-registry.ts
+++ b/packages/scheduler/src/owner/upstream-registry.ts
@@ -1,23 +1,23 @@
 import type {Clock} from '@gentianlift/clock';
 import type {
-	CacheEvent, LoadReport, Milliseconds, UpstreamId,
+	CacheEvent, EngineLoadReport, Milliseconds, UpstreamId,
 } from '@gentianlift/types';
 import {recordCachedPrefixes} from './commands/entries.js';
-import type {Standing, UpstreamState} from './state.js';
+import type {UpstreamAvailability, UpstreamState} from './state.js';
 
 /** Maximum age of a load report whose timestamp is used; otherwise the report counts as taken on arrival. */
 const maxReportLag: Milliseconds = 10_000;
 
 /** The latest status and load of each upstream, kept for groups that are created later. */
 export type UpstreamRegistry = {
-	applyLoadReport: (upstream: UpstreamId, report: LoadReport, states: Iterable<UpstreamState>) => void;
-	applyStanding: (upstream: UpstreamId, standing: Standing, states: Iterable<UpstreamState>) => void;
+	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport, states: Iterable<UpstreamState>) => void;
+	applyStanding: (upstream: UpstreamId, standing: UpstreamAvailability, states: Iterable<UpstreamState>) => void;
 	applyCacheEvents: (events: readonly CacheEvent[], states: Iterable<UpstreamState>) => void;
 	/** Sets the status and load of a new state to the latest that are known. */
 	restore: (state: UpstreamState) => void;
 };
 
-type UpstreamSnapshot = {standing?: Standing; load?: UpstreamState['load']};
+type UpstreamSnapshot = {standing?: UpstreamAvailability; load?: UpstreamState['load']};
 
 /** Creates an empty registry. */
 export const createUpstreamRegistry = (clock: Clock): UpstreamRegistry => {
@@ -55,7 +55,7 @@
 	};
 };
 
-const createLoadSample = (clock: Clock, report: LoadReport): UpstreamState['load'] => {
+const createLoadSample = (clock: Clock, report: EngineLoadReport): UpstreamState['load'] => {
 	const receivedAt = clock.monotonic();
 	const lag = clock.now() - report.at;
 	return {report, receivedAt, measuredAt: receivedAt - (lag >= 0 && lag <= maxReportLag ? lag : 0)};
--- a/packages/scheduler/src/quota/create-quota-client.ts
+++ b/packages/scheduler/src/quota/create-quota-client.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
 import type {
-	HostId, Milliseconds, PeerCalls, PeerOutcome, QuotaAnswer, QuotaRequest,
+	HostId, Milliseconds, PeerCalls, PeerOutcome, QuotaResponse, QuotaRequest,
 } from '@gentianlift/types';
 import type {QuotaOwner} from './create-quota-owner.js';
 import {getQuotaKey, type QuotaLimit} from './limits.js';
@@ -189,7 +189,7 @@
 		}
 	}
 
-	async #call(key: string, message: QuotaRequest): Promise<PeerOutcome<QuotaAnswer>> {
+	async #call(key: string, message: QuotaRequest): Promise<PeerOutcome<QuotaResponse>> {
 		const {self, getOwnerOf, getLocalOwner, peers} = this.#options;
 		const owner = getOwnerOf(key);
 		if (owner === undefined) {
--- a/packages/scheduler/src/quota/create-quota-owner.ts
+++ b/packages/scheduler/src/quota/create-quota-owner.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@gentianlift/clock';
 import type {
-	HostId, Milliseconds, QuotaAnswer, QuotaRequest,
+	HostId, Milliseconds, QuotaResponse, QuotaRequest,
 } from '@gentianlift/types';
 import {getQuotaKey, type QuotaLimit} from './limits.js';
 import {
@@ -24,11 +24,11 @@
 /** Allocates shares of the limits that this host owns. */
 export type QuotaOwner = {
 	/** Handles a host's request for shares. */
-	handle: (from: HostId, message: QuotaRequest) => QuotaAnswer;
+	handle: (from: HostId, message: QuotaRequest) => QuotaResponse;
 };
 
 type QuotaDemand = QuotaRequest['limits'][number];
-type Share = QuotaAnswer['shares'][number];
+type Share = QuotaResponse['shares'][number];
 type Reservation = {amount: number; expiresAt: Milliseconds};
 
 type Ledger = {
--- a/packages/scheduler/src/testing/fleet.ts
+++ b/packages/scheduler/src/testing/fleet.ts
@@ -4,7 +4,7 @@
 import {createMetrics, type Metrics} from '@gentianlift/metrics';
 import {getGroups} from '@gentianlift/policy';
 import type {
-	ClassifiedRequest, Configuration, GrantAnswer, GrantRequest, HostId, PeerOutcome,
+	ClassifiedRequest, Configuration, GrantResponse, GrantRequest, HostId, PeerOutcome,
 } from '@gentianlift/types';
 import {
 	createGrantClient, createGroupOwner, type GrantOutcome, type GrantClient, type GroupOwner, type Mechanism,
@@ -94,8 +94,8 @@
 /** Time in milliseconds after which an exchange without an answer fails. */
 const callTimeout = 500;
 
-const exchange = async (fleet: TestFleet, from: HostId, to: HostId, message: GrantRequest): Promise<PeerOutcome<GrantAnswer>> => {
-	let answer: GrantAnswer | undefined;
+const exchange = async (fleet: TestFleet, from: HostId, to: HostId, message: GrantRequest): Promise<PeerOutcome<GrantResponse>> => {
+	let answer: GrantResponse | undefined;
 	const isDelivered = await transmit(fleet, [from, to], message, () => {
 		answer = fleet.getHost(to).owner.handle(from, structuredClone(message));
 	});
@@ -107,7 +107,7 @@
 	return {kind: 'unknown', reason: 'timeout'};
 };
 
-const transmit = async (fleet: TestFleet, [from, to]: readonly [HostId, HostId], message: GrantRequest | GrantAnswer, deliver: () => void): Promise<boolean> => {
+const transmit = async (fleet: TestFleet, [from, to]: readonly [HostId, HostId], message: GrantRequest | GrantResponse, deliver: () => void): Promise<boolean> => {
 	const {network, random, clock, counts} = fleet;
 	counts.messages++;
 	counts.bytes += JSON.stringify(message).length;
--- a/packages/soak/src/deployment.ts
+++ b/packages/soak/src/deployment.ts
@@ -1,15 +1,15 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
 import type {Call, RequestKind, Execution} from './guarantees.js';
 import type {Command} from './host-process.js';
-import type {StoreTrouble, UpstreamFailureMode} from './schedule.js';
+import type {StoreFailureMode, UpstreamFailureMode} from './schedule.js';
 
 /** A fake of the key-value service. */
-export type StoreStandIn = {
+export type FakeStore = {
 	address: Address;
 	put: (key: string, value: string) => void;
 	remove: (key: string) => void;
 	/** Starts a failure mode in place of the current one; undefined ends it. */
-	setTrouble: (mode: StoreTrouble | undefined) => void;
+	setFailureMode: (mode: StoreFailureMode | undefined) => void;
 	close: () => void;
 };
 
@@ -26,7 +26,7 @@
 	service: string;
 	name: string;
 	ip: string;
-	store: StoreStandIn;
+	store: FakeStore;
 	/** Called when the upstream begins to execute a request; `at` is 0, the receiver sets it. */
 	onExecute: (execution: Execution) => void;
 	/** Opens a link to the address on which the upstream listens; returns the address that hosts connect to. */
@@ -34,7 +34,7 @@
 };
 
 /** Options of a host's process. */
-export type HostPlan = {
+export type HostOptions = {
 	name: string;
 	ip: string;
 	zone: string;
@@ -49,19 +49,19 @@
 };
 
 /** A request that a caller sends. */
-export type CallPlan = {
+export type CallOptions = {
 	/** Unique id of the request. */
 	attempt: string;
 	kind: RequestKind;
 	/** Address on which the host listens for callers. */
 	address: Address;
 	/** Time after which the caller gives up. */
-	patience: Milliseconds;
+	timeout: Milliseconds;
 };
 
 /** Client of the hosts that keeps its connections open. */
 export type Callers = {
-	send: (call: CallPlan) => Promise<Call['outcome']>;
+	send: (call: CallOptions) => Promise<Call['outcome']>;
 	/** Returns the status of the answer on the route that exists only in this version of the configuration; undefined without an answer. */
 	probe: (address: Address, version: number) => Promise<number | undefined>;
 	/** Returns the addresses of hosts that a host tells callers to connect to; empty without an answer. */
@@ -73,15 +73,15 @@
 export type Deployment = {
 	/** Service that runs each kind of request. */
 	services: Record<RequestKind, string>;
-	startStore: (ip: string) => Promise<StoreStandIn>;
+	startStore: (ip: string) => Promise<FakeStore>;
 	/** Writes this version of the configuration into the key-value service. */
-	configure: (store: StoreStandIn, version: number) => void;
+	configure: (store: FakeStore, version: number) => void;
 	startUpstream: (options: FakeUpstreamOptions) => Promise<FakeUpstream>;
 	/** Writes the host's settings file, also again while the host runs. */
-	writeSettings: (options: HostPlan) => void;
-	getCommand: (options: HostPlan) => Command;
+	writeSettings: (options: HostOptions) => void;
+	getCommand: (options: HostOptions) => Command;
 	/** Returns the address on which the host with this IP address listens for callers. */
-	getCallersAddress: (hostIp: string) => Address;
+	getCallerAddress: (hostIp: string) => Address;
 	/** Creates the client that all callers of a run share. */
 	createCallers: () => Callers;
 };
