--- a/packages/soak/src/exchange.ts
+++ b/packages/soak/src/exchange.ts
@@ -20,7 +20,7 @@
 export type CompleteResponse = {status: number; text: string};
 
 /** Sends a request and reads its answer; resolves with an outcome instead if no complete answer arrives within the timeout. */
-export const exchange = async (options: RequestOptions, body: string, timeout: Milliseconds): Promise<CompleteResponse | Outcome> => new Promise(resolve => {
+export const sendAndReceive = async (options: RequestOptions, body: string, timeout: Milliseconds): Promise<CompleteResponse | Outcome> => new Promise(resolve => {
 	let isConnected = false;
 	const outgoing: ClientRequest = request(options);
 	const timer = setTimeout(() => {
@@ -58,4 +58,4 @@
 });
 
 /** Returns whether a result is a complete answer. */
-export const isReceived = (result: CompleteResponse | Outcome): result is CompleteResponse => 'status' in result && 'text' in result;
+export const isCompleteResponse = (result: CompleteResponse | Outcome): result is CompleteResponse => 'status' in result && 'text' in result;
--- a/packages/soak/src/fake-upstream.ts
+++ b/packages/soak/src/fake-upstream.ts
@@ -12,20 +12,20 @@
 export type UpstreamEntry = {service: string; address: Address; id: string; slots: number; isLeaving: boolean; startedAt: number};
 
 /** The parts of a fake upstream that depend on the deployment's protocol. */
-export type UpstreamWire = {
+export type UpstreamProtocol = {
 	/** Returns the key of an upstream's entry. */
 	getKey: (id: string) => string;
-	writeEntry: (entry: UpstreamEntry) => string;
+	encodeEntry: (entry: UpstreamEntry) => string;
 	/** Returns the id of the upstream that the request is intended for. */
 	getExpectedId: (request: IncomingMessage) => string | undefined;
 	/** Returns the unique id of the request, which its headers carry. */
 	getAttempt: (request: IncomingMessage) => string;
 	isStream: (request: IncomingMessage) => boolean;
 	/** Headers of an answer that states that the request was not executed. */
-	notRunHeaders: Record<string, string>;
+	notExecutedHeaders: Record<string, string>;
 	getAnswerHeaders: (id: string, attempt: string) => Record<string, string>;
 	/** Bytes of an unsolicited HTTP answer, sent after a complete one. */
-	extraAnswer: string;
+	unsolicitedAnswer: string;
 };
 
 /** Maximum number of requests executed at a time. */
@@ -54,7 +54,7 @@
 /** Starts a fake upstream and writes its entry into the key-value service. */
 export const startUpstream = async ({
 	service, name, ip, store, onExecute, openLink,
-}: FakeUpstreamOptions, protocol: UpstreamWire): Promise<FakeUpstream> => {
+}: FakeUpstreamOptions, protocol: UpstreamProtocol): Promise<FakeUpstream> => {
 	const idleSince = new WeakMap<Socket, Milliseconds>();
 	let failureMode: UpstreamFailureMode | undefined;
 	let incarnation = 0;
@@ -71,7 +71,7 @@
 	};
 
 	const reject = (response: ServerResponse, status: number): void => {
-		response.writeHead(status, {...protocol.notRunHeaders, 'content-length': 0});
+		response.writeHead(status, {...protocol.notExecutedHeaders, 'content-length': 0});
 		response.end();
 	};
 
@@ -104,7 +104,7 @@
 
 		response.end(body);
 		if (failureMode === 'extra-bytes') {
-			response.socket?.write(protocol.extraAnswer);
+			response.socket?.write(protocol.unsolicitedAnswer);
 		}
 	};
 
@@ -157,7 +157,7 @@
 	const address = await openLink(`${ip}:${port}`);
 	const getKey = (): string => protocol.getKey(id);
 	const publishEntry = (isLeaving: boolean): void => {
-		store.put(getKey(), protocol.writeEntry({
+		store.put(getKey(), protocol.encodeEntry({
 			service, address, id, slots, isLeaving, startedAt: firstStartTime + incarnation,
 		}));
 	};
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -1,19 +1,19 @@
 import type {Address, Milliseconds} from '@gentianlift/types';
 import type {
-	Deployment, HostPlan, StoreStandIn, FakeUpstream,
+	Deployment, HostOptions, FakeStore, FakeUpstream,
 } from './deployment.js';
 import {openLink, type Link} from './link.js';
 import {createHostProcess, type HostProcess} from './host-process.js';
 import type {Execution} from './guarantees.js';
 
 /** A host's process with its link to the key-value service; `hasActiveFault` while a fault stops, kills or pauses it. */
-export type SoakHost = {options: HostPlan; hostProcess: HostProcess; storeLink: Link; callerAddress: Address; hasActiveFault: boolean};
+export type SoakHost = {options: HostOptions; hostProcess: HostProcess; storeLink: Link; callerAddress: Address; hasActiveFault: boolean};
 
 /** A fake upstream behind a link. */
 export type SoakUpstream = {fake: FakeUpstream; link: Link};
 
 /** All processes, fakes and links of one run. */
-export type Fleet = {store: StoreStandIn; hosts: SoakHost[]; upstreams: SoakUpstream[]; close: () => Promise<void>};
+export type Fleet = {store: FakeStore; hosts: SoakHost[]; upstreams: SoakUpstream[]; close: () => Promise<void>};
 
 /** Options of a fleet. */
 export type FleetOptions = {
@@ -35,7 +35,7 @@
 const storeLinkOctet = 3;
 const shutdownGracePeriod: Milliseconds = 8000;
 
-const startUpstreams = async ({deployment, network, upstreams, onExecute}: FleetOptions, store: StoreStandIn): Promise<SoakUpstream[]> => {
+const startUpstreams = async ({deployment, network, upstreams, onExecute}: FleetOptions, store: FakeStore): Promise<SoakUpstream[]> => {
 	const services = [...new Set(Object.values(deployment.services))];
 	const names = services.flatMap(service => Array.from({length: upstreams}, (_, index) => ({service, name: `${service}-${index}`})));
 	return Promise.all(names.map(async ({service, name}, index): Promise<SoakUpstream> => {
@@ -59,9 +59,9 @@
 	}));
 };
 
-const prepareHost = async ({deployment, network, folder}: FleetOptions, store: StoreStandIn, index: number): Promise<SoakHost> => {
+const prepareHost = async ({deployment, network, folder}: FleetOptions, store: FakeStore, index: number): Promise<SoakHost> => {
 	const storeLink = await openLink(`${network}.${storeLinkOctet}`, store.address);
-	const hostOptions: HostPlan = {
+	const hostOptions: HostOptions = {
 		name: `host-${index}`,
 		ip: `${network}.${firstHostOctet + index}`,
 		zone: zones[index % zones.length] ?? '',
@@ -72,7 +72,7 @@
 	};
 	deployment.writeSettings(hostOptions);
 	return {
-		options: hostOptions, hostProcess: createHostProcess(deployment.getCommand(hostOptions)), storeLink, callerAddress: deployment.getCallersAddress(hostOptions.ip), hasActiveFault: false,
+		options: hostOptions, hostProcess: createHostProcess(deployment.getCommand(hostOptions)), storeLink, callerAddress: deployment.getCallerAddress(hostOptions.ip), hasActiveFault: false,
 	};
 };
 
--- a/packages/soak/src/injector.ts
+++ b/packages/soak/src/injector.ts
@@ -148,9 +148,9 @@
 
 			case 'store': {
 				return applyFor(fault.duration, () => {
-					store.setTrouble(fault.mode);
+					store.setFailureMode(fault.mode);
 				}, () => {
-					store.setTrouble(undefined);
+					store.setFailureMode(undefined);
 				});
 			}
 
--- a/packages/soak/src/run-seed.ts
+++ b/packages/soak/src/run-seed.ts
@@ -58,7 +58,7 @@
 	for (let number = 0; number < recoveryLookups; number++) {
 		// eslint-disable-next-line no-await-in-loop -- Lookups are sent one at a time, so that they put no load on the host.
 		const outcome = await callers.send({
-			attempt: `${attemptPrefix}-${number}`, kind: 'lookup', address, patience: lookupTimeout,
+			attempt: `${attemptPrefix}-${number}`, kind: 'lookup', address, timeout: lookupTimeout,
 		});
 		if (outcome.kind !== 'answered' || outcome.status !== 200 || !outcome.isOwn) {
 			return false;
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -5,7 +5,7 @@
 /** Failure modes of the key-value service; `forgetful` loses the history of changes. */
 export const storeFailureModes = ['slow', 'refusing', 'losing-answers', 'silent', 'forgetful'] as const;
 /** One of `storeFailureModes`. */
-export type StoreTrouble = typeof storeFailureModes[number];
+export type StoreFailureMode = typeof storeFailureModes[number];
 
 /** Failure modes of an upstream. After `return-as-other` it restarts under another id, after `crash` under the same one; `mute` executes requests without answering, `extra-bytes` sends an unsolicited answer. */
 export const upstreamFailureModes = ['crash', 'return-as-other', 'leave', 'slow', 'extra-bytes', 'truncating', 'full', 'failing', 'mute', 'idle-resets'] as const;
@@ -26,7 +26,7 @@
 		| {kind: 'store-link'; host: number; state: LinkState; duration: Milliseconds}
 		/** A fault of the link between all hosts and an upstream. */
 		| {kind: 'upstream-link'; upstream: number; state: LinkState; duration: Milliseconds}
-		| {kind: 'store'; mode: StoreTrouble; duration: Milliseconds}
+		| {kind: 'store'; mode: StoreFailureMode; duration: Milliseconds}
 		| {kind: 'upstream'; upstream: number; mode: UpstreamFailureMode; duration: Milliseconds}
 		/** Several new versions of the configuration in quick succession. */
 		| {kind: 'configurations'; count: number}
--- a/packages/soak/src/store-contents.ts
+++ b/packages/soak/src/store-contents.ts
@@ -31,7 +31,7 @@
 	/** Ends a lease and removes its items. */
 	endLease: (lease: number) => void;
 	/** Discards the history, so that a watch from an earlier revision gets undefined. */
-	forgetHistory: () => void;
+	discardHistory: () => void;
 	close: () => void;
 };
 
@@ -139,7 +139,7 @@
 
 			return existing?.duration;
 		},
-		forgetHistory() {
+		discardHistory() {
 			compactedRevision = revision;
 			events = [];
 			notifyWatchers();
--- a/packages/soak/src/traffic.ts
+++ b/packages/soak/src/traffic.ts
@@ -75,7 +75,7 @@
 		const attempt = `${attemptPrefix}-${sent}`;
 		const startedAt = clock.monotonic();
 		const outcome = await callers.send({
-			attempt, kind, address, patience: requestTimeouts[kind],
+			attempt, kind, address, timeout: requestTimeouts[kind],
 		});
 		onCall({
 			attempt, kind, service: deployment.services[kind], host, startedAt, endedAt: clock.monotonic(), timeout: requestTimeouts[kind], outcome,
--- a/packages/trial/src/commands/create-host-picker.ts
+++ b/packages/trial/src/commands/create-host-picker.ts
@@ -1,5 +1,5 @@
 import type {Clock, Random} from '@gentianlift/clock';
-import type {Address, HostAnswer} from '@gentianlift/types';
+import type {Address, HostListResponse} from '@gentianlift/types';
 
 /** Chooses the host that a caller connects to. */
 export type HostPicker = {
@@ -7,7 +7,7 @@
 	pick: () => Promise<Address>;
 };
 
-const pickByWeight = (answer: HostAnswer, random: Random): Address | undefined => {
+const pickByWeight = (answer: HostListResponse, random: Random): Address | undefined => {
 	const total = answer.hosts.reduce((sum, {weight}) => sum + weight, 0);
 	let remaining = random.next() * total;
 	const found = answer.hosts.find(({weight}) => {
@@ -17,10 +17,10 @@
 	return (found ?? answer.hosts[0])?.address;
 };
 
-const readHosts = async (address: Address): Promise<HostAnswer | undefined> => {
+const readHosts = async (address: Address): Promise<HostListResponse | undefined> => {
 	try {
 		const answer = await fetch(`http://${address}/v1/hosts`);
-		return answer.ok ? await answer.json() as HostAnswer : undefined;
+		return answer.ok ? await answer.json() as HostListResponse : undefined;
 	} catch {
 		return undefined;
 	}
@@ -28,7 +28,7 @@
 
 /** Creates a host picker; it fetches the first host list from one of the known addresses, and falls back to them. */
 export const createHostPicker = (knownAddresses: Address[], clock: Clock, random: Random): HostPicker => {
-	let answer: HostAnswer | undefined;
+	let answer: HostListResponse | undefined;
 	let refreshAt = 0;
 	let pendingRefresh: Promise<void> | undefined;
 
--- a/packages/trial/src/commands/run-load.test.ts
+++ b/packages/trial/src/commands/run-load.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {createSystemClock} from '@gentianlift/clock';
-import {createEngine} from '@gentianlift/fakes';
+import {createFakeEngine} from '@gentianlift/fakes';
 import {runLoad, type Arrival} from '../index.js';
 
 const createArrival = (content: string): Arrival => {
@@ -20,14 +20,14 @@
 });
 
 test('a complete answer with the expected text is counted as complete, with its tokens', async () => {
-	const engine = await createEngine({timeFactor: 50});
+	const engine = await createFakeEngine({timeFactor: 50});
 	const [record] = await run(engine.listener.address, [createArrival('#tokens=4')]);
 	await engine.close();
 	expect(record).toMatchObject({outcome: 'complete', tokens: 4, errors: []});
 });
 
 test('an answer without its terminal event is counted as failed', async () => {
-	const engine = await createEngine({timeFactor: 50});
+	const engine = await createFakeEngine({timeFactor: 50});
 	const running = run(engine.listener.address, [createArrival('#tokens=100000')]);
 	await expect.poll(() => engine.getState().tokensGenerated).toBeGreaterThan(2);
 	await engine.listener.crash();
@@ -37,7 +37,7 @@
 });
 
 test('a complete answer to another prompt is counted as wrong', async () => {
-	const engine = await createEngine({timeFactor: 50});
+	const engine = await createFakeEngine({timeFactor: 50});
 	const other = createArrival('other #tokens=4').body ?? '';
 	const [record] = await run(engine.listener.address, [{...createArrival('#tokens=4'), body: other}]);
 	await engine.close();
--- a/packages/trial/src/commands/run-load.ts
+++ b/packages/trial/src/commands/run-load.ts
@@ -1,6 +1,6 @@
 import {Agent} from 'node:http';
 import {createRandom, type Clock, type Random} from '@gentianlift/clock';
-import {getAnswer, getAnswerText} from '@gentianlift/fakes';
+import {computeAnswer, getAnswerText} from '@gentianlift/fakes';
 import type {
 	Address, ClassName, CustomerId, Milliseconds, RequestId, RunState,
 } from '@gentianlift/types';
@@ -14,7 +14,7 @@
 	className: ClassName;
 	customer: CustomerId;
 	/** Scheduled time of the request, from the start of the load; the times below count from it. */
-	at: Milliseconds;
+	scheduledAt: Milliseconds;
 	outcome: 'complete' | 'wrong' | 'failed';
 	/** Error kinds of the failed attempts, in order. */
 	errors: string[];
@@ -25,7 +25,7 @@
 	/** Time to the first token, or to the first byte of the body. */
 	timeToFirstToken?: Milliseconds;
 	/** Time to the end of the answer, or to the last attempt's failure. */
-	wholeAfter: Milliseconds;
+	timeToCompletion: Milliseconds;
 	/** Mean inter-token latency. */
 	meanInterTokenLatency?: Milliseconds;
 	tokens: number;
@@ -62,12 +62,12 @@
 		return true;
 	}
 
-	const answer = getAnswer(prompt, 1);
+	const answer = computeAnswer(prompt, 1);
 	return reply.text === getAnswerText(answer, answer.length);
 };
 
 const getOutcome = (arrival: Arrival, reply: Reply): CallRecord['outcome'] => {
-	if (reply.error !== undefined || reply.status >= 400 || !reply.whole) {
+	if (reply.error !== undefined || reply.status >= 400 || !reply.isComplete) {
 		return 'failed';
 	}
 
@@ -112,7 +112,7 @@
 	return {
 		className: arrival.className,
 		customer: arrival.customer,
-		at: arrival.at,
+		scheduledAt: arrival.at,
 		outcome,
 		errors,
 		retries: outcome === 'failed' ? Math.max(0, errors.length - 1) : errors.length,
@@ -120,7 +120,7 @@
 		ran: reply.ran,
 		request: reply.request,
 		...(firstAt !== undefined && {timeToFirstToken: firstAt - dueAt}),
-		wholeAfter: lastAt - dueAt,
+		timeToCompletion: lastAt - dueAt,
 		...(firstAt !== undefined && tokens > 1 && {meanInterTokenLatency: (lastAt - firstAt) / (tokens - 1)}),
 		tokens,
 		...(arrival.idempotencyKey !== undefined && {idempotencyKey: arrival.idempotencyKey}),
--- a/packages/trial/src/commands/send-request.ts
+++ b/packages/trial/src/commands/send-request.ts
@@ -10,7 +10,7 @@
 	/** HTTP status; 0 if the connection failed before an answer. */
 	status: number;
 	/** Whether the terminal event, or the complete body, has arrived. */
-	whole: boolean;
+	isComplete: boolean;
 	/** Text of the answer's tokens, or the body. */
 	text: string;
 	/** Number of streamed tokens. */
@@ -60,7 +60,7 @@
 
 const applyEvent = (reply: Reply, data: string, clock: Clock): void => {
 	if (data === terminalEvent) {
-		reply.whole = true;
+		reply.isComplete = true;
 		return;
 	}
 
@@ -94,7 +94,7 @@
 		reply.text += String(part);
 	}
 
-	reply.whole = message.complete;
+	reply.isComplete = message.complete;
 	if (reply.status >= 400) {
 		applyError(reply, JSON.parse(reply.text) as EventData);
 	}
@@ -110,7 +110,7 @@
 		? readEvents(message, reply, clock)
 		: readBody(message, reply, clock));
 	reply.lastAt = clock.monotonic();
-	if (!reply.whole) {
+	if (!reply.isComplete) {
 		reply.error ??= 'cut-short';
 	}
 };
@@ -124,7 +124,7 @@
 /** Sends one attempt and reads its answer; failures are reported in the reply, none is thrown. */
 export const sendRequest = async (arrival: Arrival, target: Target): Promise<Reply> => {
 	const reply: Reply = {
-		status: 0, whole: false, text: '', tokens: 0, lastAt: 0, request: '', ran: 'unknown',
+		status: 0, isComplete: false, text: '', tokens: 0, lastAt: 0, request: '', ran: 'unknown',
 	};
 	try {
 		const message = await new Promise<IncomingMessage>((resolve, reject) => {
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -9,12 +9,12 @@
 import {readExample, type DeploymentName} from '../example.js';
 import {findPorts} from '../queries/find-ports.js';
 import {countPorts, getFleetSettings, type SettingsDocument} from '../queries/get-settings.js';
-import {getStandinConfiguration} from '../queries/get-trial-configuration.js';
+import {getTrialConfiguration} from '../queries/get-trial-configuration.js';
 import {getTimeZone} from '../queries/get-time-zone.js';
 import {isReady} from '../queries/is-ready.js';
 import {publishConfiguration} from './publish-configuration.js';
 import {startRouter, type RunningRouter} from './start-router.js';
-import {startStandins, type Standins} from './start-fakes.js';
+import {startFakes, type Fakes} from './start-fakes.js';
 
 /** Options of a deployment. */
 export type DeploymentOptions = {
@@ -28,14 +28,14 @@
 	/** Settings of all routers, which override the generated ones. */
 	settings?: Partial<Settings>;
 	/** Transforms the example configuration before it is published. */
-	change?: (configuration: Configuration) => Configuration;
+	transformConfiguration?: (configuration: Configuration) => Configuration;
 };
 
 /** Exit of a router's process; `outcome` is its exit code or the signal's name. */
 export type RouterExit = {host: string; outcome: number | string; logFile: string};
 
 /** A complete deployment on loopback: fakes inside this process, and router processes. */
-export type Deployment = Standins & {
+export type Deployment = Fakes & {
 	name: DeploymentName;
 	clock: Clock;
 	configuration: Configuration;
@@ -71,7 +71,7 @@
 const waitUntilReady = async (router: RunningRouter, clock: Clock): Promise<void> => {
 	const deadline = clock.monotonic() + readyTimeout;
 	let hasEnded = false;
-	void router.ended.then(() => {
+	void router.exited.then(() => {
 		hasEnded = true;
 	});
 	/* eslint-disable no-await-in-loop -- A host is polled again only after its previous answer. */
@@ -85,7 +85,7 @@
 	/* eslint-enable no-await-in-loop */
 };
 
-const createSettings = async (fakes: Standins, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
+const createSettings = async (fakes: Fakes, configuration: Configuration, options: DeploymentOptions): Promise<SettingsDocument[]> => {
 	const {keyValue, hostList, weightStore} = fakes;
 	return getFleetSettings({
 		zones: [...new Set(configuration.inventory.engines.map(({zone}) => zone))],
@@ -100,10 +100,10 @@
 export const startDeployment = async (options: DeploymentOptions): Promise<Deployment> => {
 	const clock = createSystemClock();
 	const example = await readExample(options.deployment);
-	const change = options.change ?? (configuration => configuration);
-	const fakes = await startStandins(example.configuration.inventory, {...trialEngine, ...options.engine});
+	const change = options.transformConfiguration ?? (configuration => configuration);
+	const fakes = await startFakes(example.configuration.inventory, {...trialEngine, ...options.engine});
 	const timeZone = getTimeZone(clock.now(), options.hour ?? defaultHour);
-	const configuration = change(getStandinConfiguration(example.configuration, fakes.addresses, timeZone));
+	const configuration = change(getTrialConfiguration(example.configuration, fakes.addresses, timeZone));
 	publishConfiguration(fakes.keyValue, configuration, clock.now());
 	const settings = await createSettings(fakes, configuration, options);
 	fakes.hostList.setHosts(getListedHosts(settings, configuration, fakes.addresses));
--- a/packages/trial/src/commands/start-fakes.ts
+++ b/packages/trial/src/commands/start-fakes.ts
@@ -1,5 +1,5 @@
 import {
-	createEngine, createHostList, createKeyValue, createService, createWeightStore,
+	createFakeEngine, createFakeHostList, createFakeKeyValue, createFakeService, createFakeWeightStore,
 	type EngineOptions, type FakeEngine, type FakeHostList, type FakeKeyValue, type FakeService, type FakeWeightStore,
 } from '@gentianlift/fakes';
 import type {
@@ -7,7 +7,7 @@
 } from '@gentianlift/types';
 
 /** Fakes, inside this process, of the systems that the router connects to. */
-export type Standins = {
+export type Fakes = {
 	engines: Map<UpstreamId, FakeEngine>;
 	services: Map<UpstreamId, FakeService>;
 	keyValue: FakeKeyValue;
@@ -20,7 +20,7 @@
 
 const startEngine = async (engine: Engine, inventory: Inventory, options: EngineOptions): Promise<[UpstreamId, FakeEngine]> => {
 	const modelSizes = [...inventory.models, ...inventory.adapters].map(({name, bytes}) => [name, bytes]);
-	const fake = await createEngine({
+	const fake = await createFakeEngine({
 		models: engine.models,
 		adapters: engine.adapters,
 		role: engine.role,
@@ -36,13 +36,13 @@
 	new Map([...fakes].map(([id, {listener}]) => [id, listener.address]));
 
 /** Starts fakes of all upstreams of an inventory and of the platform's services. */
-export const startStandins = async (inventory: Inventory, options: EngineOptions = {}): Promise<Standins> => {
-	const [keyValue, hostList, weightStore] = await Promise.all([createKeyValue(), createHostList(), createWeightStore()]);
+export const startFakes = async (inventory: Inventory, options: EngineOptions = {}): Promise<Fakes> => {
+	const [keyValue, hostList, weightStore] = await Promise.all([createFakeKeyValue(), createFakeHostList(), createFakeWeightStore()]);
 	const engines = new Map(await Promise.all(inventory.engines.map(async (engine, index) =>
 		startEngine(engine, inventory, {weightStoreUrl: weightStore.listener.url, seed: index + 1, ...options}))));
 	const instances = inventory.services.flatMap(service => service.instances);
 	const services = new Map(await Promise.all(instances.map(async ({id, slots}): Promise<[UpstreamId, FakeService]> =>
-		[id, await createService({slots})])));
+		[id, await createFakeService({slots})])));
 	const fakes = [...engines.values(), ...services.values(), keyValue, hostList, weightStore];
 	return {
 		engines,
--- a/packages/trial/src/commands/start-router.ts
+++ b/packages/trial/src/commands/start-router.ts
@@ -15,8 +15,8 @@
 	/** File to which the process's output is appended. */
 	logFile: string;
 	/** Resolves with the exit code, or the signal's name, once the process has exited. */
-	ended: Promise<number | string>;
-	signal: (name: NodeJS.Signals) => void;
+	exited: Promise<number | string>;
+	sendSignal: (name: NodeJS.Signals) => void;
 	/** Sends SIGTERM, and SIGKILL after the timeout; resolves like `ended`. */
 	stop: (timeout?: Milliseconds) => Promise<number | string>;
 };
@@ -45,8 +45,8 @@
 		settings,
 		pid: child.pid ?? 0,
 		logFile,
-		ended,
-		signal(name) {
+		exited: ended,
+		sendSignal(name) {
 			child.kill(name);
 		},
 		async stop(timeout = defaultStopTimeout) {
--- a/packages/trial/src/main.ts
+++ b/packages/trial/src/main.ts
@@ -39,7 +39,7 @@
 		deployment, arrivals, seed, onProgress: printProgress,
 	});
 	print(`\n${formatReport(getReport({
-		records, configuration: deployment.configuration, standins: deployment, time: customerTime,
+		records, configuration: deployment.configuration, fakes: deployment, time: customerTime,
 	}))}`);
 };
 
--- a/packages/trial/src/queries/format-report.ts
+++ b/packages/trial/src/queries/format-report.ts
@@ -1,7 +1,7 @@
 import type {Report} from './get-report.js';
 
 /** Formats rows of cells as text columns; the first column is left-aligned, the others right-aligned. */
-export const getTable = (rows: string[][]): string => {
+export const formatTable = (rows: string[][]): string => {
 	const widths = (rows[0] ?? []).map((_, column) => Math.max(...rows.map(row => row[column]?.length ?? 0)));
 	const formatCell = (cell: string, column: number): string =>
 		column === 0 ? cell.padEnd(widths[column] ?? 0) : cell.padStart(widths[column] ?? 0);
@@ -26,11 +26,11 @@
 		entry.goodput.toFixed(2),
 		entry.firstP50.toFixed(0),
 		entry.firstP99.toFixed(0),
-		formatPercent(entry.wastedShare),
+		formatPercent(entry.wastedFraction),
 		String(entry.failed),
 		String(entry.retries),
 		String(entry.wrong),
 	]);
 	const errors = Object.keys(report.errors).length === 0 ? '  none' : formatCounts(report.errors);
-	return `${getTable([headings, ...rows])}\n\nFailed attempts by reason:\n${errors}\nDoubled bookings: ${report.doubled}\n`;
+	return `${formatTable([headings, ...rows])}\n\nFailed attempts by reason:\n${errors}\nDoubled bookings: ${report.duplicateBookings}\n`;
 };
--- a/packages/trial/src/queries/get-trial-configuration.ts
+++ b/packages/trial/src/queries/get-trial-configuration.ts
@@ -1,7 +1,7 @@
 import type {Address, Configuration, UpstreamId} from '@gentianlift/types';
 
 /** Returns the configuration with the addresses of the fake upstreams, and with one time zone for all customers if given. */
-export const getStandinConfiguration = (
+export const getTrialConfiguration = (
 	configuration: Configuration,
 	addresses: ReadonlyMap<UpstreamId, Address>,
 	timeZone?: string,
--- a/packages/trial/src/queries/queries.test.ts
+++ b/packages/trial/src/queries/queries.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {
-	getArrivals, getFlows, getReport, getTable, getTimeZone, readExample, type CallRecord,
+	getArrivals, getFlows, getReport, formatTable, getTimeZone, readExample, type CallRecord,
 } from '../index.js';
 
 const loadShape = {
@@ -35,13 +35,13 @@
 test('counts only answers that meet all targets as attained, and counts wasted tokens', async () => {
 	const {configuration} = await readExample('kopi');
 	const record: CallRecord = {
-		className: 'quote', customer: 'a', at: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r',
-		timeToFirstToken: 700, wholeAfter: 5000, meanInterTokenLatency: 50, tokens: 80,
+		className: 'quote', customer: 'a', scheduledAt: 0, outcome: 'complete', errors: [], retries: 0, status: 200, ran: 'ran', request: 'r',
+		timeToFirstToken: 700, timeToCompletion: 5000, meanInterTokenLatency: 50, tokens: 80,
 	};
 	const engines = new Map([['e', {getState: () => ({tokensByTag: {quote: 200}})}]]) as never;
 	const report = getReport({
 		records: [record, {...record, timeToFirstToken: 900}, {...record, meanInterTokenLatency: 80}, {...record, outcome: 'failed', errors: ['queue-full']}],
-		configuration, standins: {engines, services: new Map()}, time: '09:00',
+		configuration, fakes: {engines, services: new Map()}, time: '09:00',
 	});
 	expect(report.classes[0]).toMatchObject({
 		className: 'quote', sent: 4, complete: 3, attainment: 0.25, goodput: 0.2, wasted: 0, failed: 1,
@@ -50,5 +50,5 @@
 });
 
 test('aligns columns', () => {
-	expect(getTable([['class', 'n'], ['a', '10']])).toBe('class   n\na      10');
+	expect(formatTable([['class', 'n'], ['a', '10']])).toBe('class   n\na      10');
 });
--- a/packages/types/src/engine.ts
+++ b/packages/types/src/engine.ts
@@ -2,7 +2,7 @@
 import type {EngineRole} from './inventory.js';
 
 /** Load report of an engine, from `GET /v1/load`; it lags behind the actual load. */
-export type LoadReport = {
+export type EngineLoadReport = {
 	/** Time of the measurement by the engine's clock, in milliseconds since the epoch. */
 	at: Milliseconds;
 	running: number;
@@ -50,7 +50,7 @@
 		| {kind: 'unknown'; reason: string};
 
 /** One observation of an upstream by a host, apart from load reports, such as the end of a request or of a probe. */
-export type UpstreamSighting = {
+export type UpstreamObservation = {
 	upstream: UpstreamId;
 	at: Milliseconds;
 	kind: 'success' | 'refused' | 'unreachable' | 'reset' | 'silent' | 'error' | 'leaving' | 'crashed';
--- a/packages/types/src/grant.ts
+++ b/packages/types/src/grant.ts
@@ -57,11 +57,11 @@
 	asks: Ticket[];
 	ends: TicketEnd[];
 	/** All requests still queued or running at the host. Sent with a heartbeat, so that the owner recovers from lost messages. */
-	held?: HeldTicket[];
+	held?: ActiveTicket[];
 };
 
 /** A request that is queued or running, as reported by its host. */
-export type HeldTicket = {
+export type ActiveTicket = {
 	request: RequestId;
 	attempt: number;
 	/** Upstream that runs it; absent while it is queued. */
@@ -71,7 +71,7 @@
 };
 
 /** The owner's decision on a ticket; `yield` preempts a running request. */
-export type Decision
+export type GrantDecision
 	= | {kind: 'granted'; request: RequestId; attempt: number; upstream: UpstreamId; priority: number}
 		| {kind: 'waiting'; request: RequestId; attempt: number; expectedWait: Milliseconds}
 		| {kind: 'shed'; request: RequestId; attempt: number; reason: ShedReason; retryAfter: Milliseconds}
@@ -83,11 +83,11 @@
 export type ShedReason = typeof shedReasons[number];
 
 /** One batch of decisions from the owner of a group to a host, in response to a request or pushed when a slot becomes free. */
-export type GrantAnswer = {
+export type GrantResponse = {
 	/** Whether the responding host owns the group. */
 	owner: boolean;
 	group: GroupId;
-	decisions: Decision[];
+	decisions: GrantDecision[];
 	/** Reported requests whose tickets the owner doesn't know, and which the host sends next. */
 	wanted?: RequestId[];
 };
--- a/packages/types/src/inventory.ts
+++ b/packages/types/src/inventory.ts
@@ -8,9 +8,9 @@
 export type EngineRole = typeof engineRoles[number];
 
 /** Whether an engine rejects an order with an old fencing number or ignores the number. */
-export const fencingKinds = ['checked', 'ignored'] as const;
+export const fencingSupports = ['checked', 'ignored'] as const;
 /** One of `fencingKinds`. */
-export type Fencing = typeof fencingKinds[number];
+export type FencingSupport = typeof fencingSupports[number];
 
 /** A model engine, from the operators' asset register. */
 export type Engine = {
@@ -24,7 +24,7 @@
 	accelerators: number;
 	/** Number of generations that the engine runs concurrently; it queues any more. */
 	slots: number;
-	fencing: Fencing;
+	fencing: FencingSupport;
 };
 
 /** A language model. */
--- a/packages/types/src/membership.ts
+++ b/packages/types/src/membership.ts
@@ -43,11 +43,11 @@
 /** Port of the store from which engines load model weights. */
 export type WeightStore = {
 	/** Reads the bandwidth that all downloads share, in bytes per second, and the bytes of the downloads in progress; undefined if the store can't be read. */
-	readRate: () => Promise<{bytesPerSecond: number; bytesUnderWay: number} | undefined>;
+	readBandwidth: () => Promise<{bytesPerSecond: number; bytesUnderWay: number} | undefined>;
 };
 
 /** List of host addresses for callers, the response of `GET /v1/hosts`. */
-export type HostAnswer = {
+export type HostListResponse = {
 	hosts: Array<{host: HostId; address: Address; zone: Zone; weight: number}>;
 	/** Time for which the caller may cache the response. */
 	timeToLive: Milliseconds;
--- a/packages/types/src/peer.ts
+++ b/packages/types/src/peer.ts
@@ -1,8 +1,8 @@
 import type {
 	ClaimDecision, ClaimKey, ClaimOutcome,
 } from './claim.js';
-import type {LoadReport} from './engine.js';
-import type {GrantAnswer, GrantRequest} from './grant.js';
+import type {EngineLoadReport} from './engine.js';
+import type {GrantResponse, GrantRequest} from './grant.js';
 import type {
 	ClassName, HostId, Incarnation, Milliseconds, ModelName, Rank, RequestId, UpstreamId,
 } from './ids.js';
@@ -49,16 +49,16 @@
 };
 
 /** Shares of shared limits that a host may use until they expire. */
-export type QuotaAnswer = {
+export type QuotaResponse = {
 	owner: boolean;
 	shares: Array<{limit: string; allowed: number; duration: Milliseconds}>;
 };
 
 /** A host's configuration, as another host reads it; `packed` is the newest version as base64-encoded compressed JSON, sent in place of `newest`. */
-export type ConfigurationAnswer = {newest?: ConfigurationVersion; packed?: string; version?: number; age?: Milliseconds};
+export type ConfigurationResponse = {newest?: ConfigurationVersion; packed?: string; version?: number; age?: Milliseconds};
 
 /** Current demand of one class for one model or adapter. */
-export type Demand = {
+export type ModelDemand = {
 	className: ClassName;
 	/** Name of the model or adapter. */
 	needs: ModelName;
@@ -74,24 +74,24 @@
 /** A host's input to the placement of models on engines. */
 export type PlacementFacts = {
 	/** Demand from the host's own callers. */
-	demands: Demand[];
+	demands: ModelDemand[];
 	/** Latest load reports of the engines whose requests the host schedules. */
-	reports: Array<{upstream: UpstreamId; report: LoadReport}>;
+	reports: Array<{upstream: UpstreamId; report: EngineLoadReport}>;
 };
 
 /** Calls from one host to another; none throws. */
 export type PeerCalls = {
-	exchangeGrants: (to: HostId, message: GrantRequest) => Promise<PeerOutcome<GrantAnswer>>;
+	exchangeGrants: (to: HostId, message: GrantRequest) => Promise<PeerOutcome<GrantResponse>>;
 	/** Pushes decisions from the owner of a group to a host that requested grants. */
-	pushGrants: (to: HostId, message: GrantAnswer) => Promise<PeerOutcome<{received: boolean}>>;
-	exchangeQuota: (to: HostId, message: QuotaRequest) => Promise<PeerOutcome<QuotaAnswer>>;
+	pushGrants: (to: HostId, message: GrantResponse) => Promise<PeerOutcome<{received: boolean}>>;
+	exchangeQuota: (to: HostId, message: QuotaRequest) => Promise<PeerOutcome<QuotaResponse>>;
 	claim: (to: HostId, message: ClaimRequest) => Promise<PeerOutcome<ClaimDecision>>;
 	settleClaim: (to: HostId, message: ClaimSettlement) => Promise<PeerOutcome<SettlementOutcome>>;
 	/**
 	Reads the host's configuration if its version is newer than `after`.
 	`version` is the version that the host applies, `age` the time since that was last confirmed to be the newest, if it ever was.
 	*/
-	readConfiguration: (to: HostId, message: {after: number}) => Promise<PeerOutcome<ConfigurationAnswer>>;
+	readConfiguration: (to: HostId, message: {after: number}) => Promise<PeerOutcome<ConfigurationResponse>>;
 	readAccount: (to: HostId, message: {request: RequestId}) => Promise<PeerOutcome<{account?: Account}>>;
 	readPlacementFacts: (to: HostId, message: Record<string, never>) => Promise<PeerOutcome<PlacementFacts>>;
 };
@@ -103,13 +103,13 @@
 };
 
 /** Topics of the notes that hosts gossip. */
-export const noteTopics = ['upstream-leaving', 'upstream-failed', 'suspect-request'] as const;
+export const announcementTopics = ['upstream-leaving', 'upstream-failed', 'suspect-request'] as const;
 /** One of `noteTopics`. */
-export type NoteTopic = typeof noteTopics[number];
+export type AnnouncementTopic = typeof announcementTopics[number];
 
 /** A short statement that is gossiped to all hosts with the membership messages; for each topic, key and host only the latest one is valid. */
-export type Note = {
-	topic: NoteTopic;
+export type Announcement = {
+	topic: AnnouncementTopic;
 	/** Subject of the note, such as an upstream's name or a request's fingerprint. */
 	key: string;
 	/** Content of the note; empty if the statement no longer holds. */
--- a/packages/types/src/settings.ts
+++ b/packages/types/src/settings.ts
@@ -13,7 +13,7 @@
 };
 
 /** Silence timeouts by the other end of the connection: time without any data after which a connection counts as lost. */
-export type SilenceLimits = {
+export type SilenceTimeouts = {
 	caller: Milliseconds;
 	/** For an engine's response, until its first token. */
 	firstToken: Milliseconds;
@@ -44,7 +44,7 @@
 	/** Time for which callers may cache a response of `GET /v1/hosts`. */
 	addressTimeToLive: Milliseconds;
 	callerLimits: CallerLimits;
-	silenceLimits: SilenceLimits;
+	silenceLimits: SilenceTimeouts;
 	/** Seed of the random number generator; derived from the clock if absent. */
 	seed?: number;
 	/** How queued requests are ordered; `first-in-first-out` and `least-outstanding` are baselines for measurements. */
--- a/packages/upstream/src/client.ts
+++ b/packages/upstream/src/client.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@gentianlift/clock';
 import type {
-	Address, FencedOrder, LoadReport, OrderOutcome, RequestId, SilenceLimits, UpstreamSighting,
+	Address, FencedOrder, EngineLoadReport, OrderOutcome, RequestId, SilenceTimeouts, UpstreamObservation,
 } from '@gentianlift/types';
 import {callService, type ServiceResponse, type ServiceCall} from './commands/call-service.js';
 import {cancelGeneration} from './commands/cancel-generation.js';
@@ -21,15 +21,15 @@
 	sendOrder: (address: Address, order: FencedOrder) => Promise<OrderOutcome>;
 	exportCache: (address: Address, chunk: string) => Promise<boolean>;
 	importCache: (address: Address, transfer: {chunk: string; from: Address}) => Promise<boolean>;
-	readLoad: (address: Address) => Promise<LoadReport | undefined>;
+	readLoad: (address: Address) => Promise<EngineLoadReport | undefined>;
 	readCacheEvents: (address: Address, after: number) => Promise<CacheEventPage | undefined>;
-	checkHealth: (address: Address) => Promise<UpstreamSighting['kind']>;
+	checkHealth: (address: Address) => Promise<UpstreamObservation['kind']>;
 	/** Closes all connections, including those in use. */
 	close: () => void;
 };
 
 /** Options of `createUpstreamClient`. */
-export type UpstreamClientOptions = {clock: Clock; silenceLimits: SilenceLimits};
+export type UpstreamClientOptions = {clock: Clock; silenceLimits: SilenceTimeouts};
 
 /** Creates a client with its own connection pool. */
 export const createUpstreamClient = ({clock, silenceLimits}: UpstreamClientOptions): UpstreamClient => {
--- a/packages/upstream/src/commands/call-service.ts
+++ b/packages/upstream/src/commands/call-service.ts
@@ -1,6 +1,6 @@
 import {finished} from 'node:stream';
 import type {OutgoingHttpHeaders} from 'node:http';
-import type {Address, SilenceLimits} from '@gentianlift/types';
+import type {Address, SilenceTimeouts} from '@gentianlift/types';
 import type {CallFailure} from '../call-failure.js';
 import {createResponseStream} from '../wire/response-stream.js';
 import type {StreamChunk, ChunkStream} from '../wire/chunk-stream.js';
@@ -50,7 +50,7 @@
 });
 
 /** Calls a service. Resolves when the head of the response arrives, or with the reason why there is none. Never retries and never throws. */
-export const callService = async (context: ExchangeContext, limits: SilenceLimits, call: ServiceCall): Promise<ServiceResponse | CallFailure> => {
+export const callService = async (context: ExchangeContext, limits: SilenceTimeouts, call: ServiceCall): Promise<ServiceResponse | CallFailure> => {
 	const response = await exchange(context, call, limits.service);
 	if (response.kind !== 'answered') {
 		return response;
--- a/packages/upstream/src/commands/generate.ts
+++ b/packages/upstream/src/commands/generate.ts
@@ -1,7 +1,7 @@
 import {finished} from 'node:stream';
 import type {OutgoingHttpHeaders} from 'node:http';
 import type {Cancel} from '@gentianlift/clock';
-import type {Address, Milliseconds, SilenceLimits} from '@gentianlift/types';
+import type {Address, Milliseconds, SilenceTimeouts} from '@gentianlift/types';
 import type {CallFailure} from '../call-failure.js';
 import {createResponseStream} from '../wire/response-stream.js';
 import type {StreamChunk, ChunkStream} from '../wire/chunk-stream.js';
@@ -43,7 +43,7 @@
 };
 
 /** The parts that receive the response of one generation. */
-type GenerationStream = {reader: EventReader; stream: ChunkStream; limits: SilenceLimits};
+type GenerationStream = {reader: EventReader; stream: ChunkStream; limits: SilenceTimeouts};
 
 /** Maximum size of one event of a generation. */
 const maxEventBytes = 1_048_576;
@@ -116,7 +116,7 @@
 };
 
 /** Runs a generation. Resolves when the head of the response arrives, or with the reason why there is none. Never throws. */
-export const generate = async (context: ExchangeContext, limits: SilenceLimits, call: GenerationCall): Promise<Generation | CallFailure> => {
+export const generate = async (context: ExchangeContext, limits: SilenceTimeouts, call: GenerationCall): Promise<Generation | CallFailure> => {
 	const request = {...call, method: 'POST', path: '/v1/chat/completions'};
 	const response = await exchange(context, request, limits.firstToken);
 	if (response.kind !== 'answered') {
--- a/packages/upstream/src/health/observation-log.ts
+++ b/packages/upstream/src/health/observation-log.ts
@@ -1,7 +1,7 @@
-import type {HostId, Milliseconds, UpstreamSighting} from '@gentianlift/types';
+import type {HostId, Milliseconds, UpstreamObservation} from '@gentianlift/types';
 
 /** An observation of an upstream and the host that made it. */
-export type HostObservation = UpstreamSighting & {host: HostId};
+export type HostObservation = UpstreamObservation & {host: HostId};
 
 /** Conclusion from the observations of one upstream: `down` if it can't be reached or crashed, `failing` if its requests fail. */
 export type Verdict = 'healthy' | 'failing' | 'down';
--- a/packages/upstream/src/health/upstream-health.ts
+++ b/packages/upstream/src/health/upstream-health.ts
@@ -1,8 +1,8 @@
 import type {Clock, Random} from '@gentianlift/clock';
 import type {Metrics} from '@gentianlift/metrics';
-import type {HostId, UpstreamId, UpstreamSighting} from '@gentianlift/types';
+import type {HostId, UpstreamId, UpstreamObservation} from '@gentianlift/types';
 import {
-	addSuccess, eject, startProbingWhenDue, getTrafficFraction, type EjectionState, type Standing,
+	addSuccess, eject, startProbingWhenDue, getTrafficFraction, type EjectionState, type UpstreamAvailability,
 } from './ejection.js';
 import {createObservationLog, type ObservationLog, type Verdict} from './observation-log.js';
 import {createLeavingUpstreams, type LeavingSource} from './leaving-upstreams.js';
@@ -10,16 +10,16 @@
 /** Health of the upstreams as this host judges it, with ejection of failing upstreams. */
 export type UpstreamHealth = {
 	/** Records a host's observation of an upstream; `host` is this host by default. */
-	record: (observation: UpstreamSighting, host?: HostId) => void;
+	record: (observation: UpstreamObservation, host?: HostId) => void;
 	/** Records that a source reports an upstream as leaving, or no longer does. */
 	setLeaving: (upstream: UpstreamId, source: LeavingSource, isLeaving: boolean) => void;
-	getStanding: (upstream: UpstreamId) => Standing;
+	getAvailability: (upstream: UpstreamId) => UpstreamAvailability;
 	/** Returns the fraction of its usual traffic that an upstream may get, from 0 to 1. */
 	getTrafficFraction: (upstream: UpstreamId) => number;
 	/** Returns the upstreams to probe; only successes make them available again. */
-	getProbing: () => UpstreamId[];
+	getProbingUpstreams: () => UpstreamId[];
 	/** Registers a listener that is called when this host ejects an upstream, so that the other hosts can be notified. */
-	onEject: (listener: (observation: UpstreamSighting) => void) => void;
+	onEject: (listener: (observation: UpstreamObservation) => void) => void;
 };
 
 /** Options of `createUpstreamHealth`. */
@@ -29,7 +29,7 @@
 	metrics: Metrics;
 	self: HostId;
 	/** Returns all upstreams that can do the same work as the given one, including that one. */
-	getPeers: (upstream: UpstreamId) => UpstreamId[];
+	getEquivalentUpstreams: (upstream: UpstreamId) => UpstreamId[];
 };
 
 type UpstreamState = {ejection: EjectionState; observations: ObservationLog};
@@ -38,10 +38,10 @@
 const maxEjectedFraction = 0.5;
 
 /** Creates the health state of the upstreams, all of which start as available. */
-export const createUpstreamHealth = ({clock, random, metrics, self, getPeers}: UpstreamHealthOptions): UpstreamHealth => {
+export const createUpstreamHealth = ({clock, random, metrics, self, getEquivalentUpstreams: getPeers}: UpstreamHealthOptions): UpstreamHealth => {
 	const states = new Map<UpstreamId, UpstreamState>();
 	const leavingUpstreams = createLeavingUpstreams();
-	const listeners = new Set<(observation: UpstreamSighting) => void>();
+	const listeners = new Set<(observation: UpstreamObservation) => void>();
 
 	const getState = (upstream: UpstreamId): UpstreamState => {
 		const state = states.get(upstream) ?? {
@@ -64,7 +64,7 @@
 		return ejected + 1 <= equivalents.length * maxEjectedFraction;
 	};
 
-	const applyVerdict = (state: UpstreamState, observation: UpstreamSighting, host: HostId): void => {
+	const applyVerdict = (state: UpstreamState, observation: UpstreamObservation, host: HostId): void => {
 		const {upstream, kind} = observation;
 		const hasProbeFailed = state.ejection.kind === 'probing' && host === self && kind !== 'success' && kind !== 'refused';
 		const verdict = hasProbeFailed ? 'failing' : state.observations.getVerdict(clock.monotonic());
@@ -87,7 +87,7 @@
 		}
 	};
 
-	const record = (observation: UpstreamSighting, host: HostId = self): void => {
+	const record = (observation: UpstreamObservation, host: HostId = self): void => {
 		const state = getState(observation.upstream);
 		const now = clock.monotonic();
 		if (observation.kind === 'leaving') {
@@ -113,13 +113,13 @@
 		setLeaving(upstream, source, isLeaving) {
 			leavingUpstreams.set(upstream, source, isLeaving, clock.monotonic());
 		},
-		getStanding(upstream) {
+		getAvailability(upstream) {
 			return leavingUpstreams.has(upstream, clock.monotonic()) ? 'leaving' : getState(upstream).ejection.kind;
 		},
 		getTrafficFraction(upstream) {
 			return leavingUpstreams.has(upstream, clock.monotonic()) ? 0 : getTrafficFraction(getState(upstream).ejection, clock.monotonic());
 		},
-		getProbing: () => [...states.keys()].filter(upstream => getState(upstream).ejection.kind === 'probing'),
+		getProbingUpstreams: () => [...states.keys()].filter(upstream => getState(upstream).ejection.kind === 'probing'),
 		onEject(listener) {
 			listeners.add(listener);
 		},
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -8,10 +8,10 @@
 export type {GenerationEnd} from './wire/event-reader.js';
 export type {ExchangeFailure} from './wire/exchange.js';
 export {getEndToEndHeaders, hopByHopHeaders} from './wire/headers.js';
-export {getEngineBody, type Resume} from './engine-body.js';
+export {getEngineBody, type GenerationProgress} from './engine-body.js';
 export {
 	getRunState, refusalCodes, type CallFailure, type ErrorResponse, type Refusal, type RefusalCode,
 } from './call-failure.js';
 export {createUpstreamHealth, type UpstreamHealth, type UpstreamHealthOptions} from './health/upstream-health.js';
-export type {Standing} from './health/ejection.js';
+export type {UpstreamAvailability} from './health/ejection.js';
 export {leavingSources, type LeavingSource} from './health/leaving-upstreams.js';
