--- a/packages/bench/src/claims/fleet.ts
+++ b/packages/bench/src/claims/fleet.ts
@@ -100,7 +100,7 @@
 	const clock = createSystemClock();
 	const metrics = createMetrics();
 	const hostNames = Array.from({length: hosts}, (_, index) => `host-${index}`);
-	const owners = new Map<HostId, ClaimStore>();
+	const claimStores = new Map<HostId, ClaimStore>();
 	const keyValues: KeyValueClient[] = [];
 	const clients = hostNames.map((self, index) => {
 		const keyValue = createKeyValueClient({url, clock, timeout: keyValueTimeoutMs});
@@ -108,16 +108,16 @@
 		const shared = {
 			clock, random: createRandom(index + 1), metrics, keyValue,
 		};
-		const owner = createClaimStore(shared);
-		owners.set(self, owner);
+		const claimStore = createClaimStore(shared);
+		claimStores.set(self, claimStore);
 		return createClaimClient({
 			...shared,
 			self,
-			claimStore: owner,
+			claimStore,
 			getOwner: key => hasSharedSlots ? hostNames[hashKey(key) % hosts] : self,
 			peers: {
-				claim: async (to, message) => ({kind: 'answered', answer: await owners.get(to)!.claim(self, message)}),
-				settleClaim: async (to, message) => ({kind: 'answered', answer: await owners.get(to)!.settle(self, message)}),
+				claim: async (to, message) => ({kind: 'answered', answer: await claimStores.get(to)!.claim(self, message)}),
+				settleClaim: async (to, message) => ({kind: 'answered', answer: await claimStores.get(to)!.settle(self, message)}),
 			},
 		});
 	});
--- a/packages/bench/src/faults/fault-impact.ts
+++ b/packages/bench/src/faults/fault-impact.ts
@@ -42,7 +42,7 @@
 	const failed = records.filter(({outcome}) => outcome === 'failed');
 	const bookingKeys = calls.map(({idempotencyKey}) => idempotencyKey).filter(key => key !== '');
 	const executedRequests = new Set(calls.map(({request}) => request));
-	const affected = records.filter(({errors, scheduledAt: at}) => errors.some(kind => !customerLimitErrorKinds.has(kind)) && at >= injectedAt);
+	const affected = records.filter(({errors, scheduledAt}) => errors.some(kind => !customerLimitErrorKinds.has(kind)) && scheduledAt >= injectedAt);
 	return {
 		sent: records.length,
 		lost: failed.length,
@@ -52,7 +52,7 @@
 		falseNotRun: failed.filter(({ran, request}) => ran === 'not-run' && executedRequests.has(request)).length,
 		unknown: failed.filter(({ran, idempotencyKey}) => ran === 'unknown' && idempotencyKey !== undefined).length,
 		retried: records.filter(({outcome, retries}) => outcome !== 'failed' && retries > 0).length,
-		recoveredAfter: Math.max(0, ...affected.map(({scheduledAt: at}) => at - injectedAt)),
+		recoveredAfter: Math.max(0, ...affected.map(({scheduledAt}) => scheduledAt - injectedAt)),
 		errors: countErrorKinds(records),
 	};
 };
--- a/packages/bench/src/faults/faults.ts
+++ b/packages/bench/src/faults/faults.ts
@@ -62,18 +62,18 @@
 export const faults: Fault[] = [
 	{
 		name: 'host killed', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
-			const {sendSignal: signal, settings} = getRouter(deployment, faultyHostIndexes.killed);
-			signal('SIGKILL');
+			const {sendSignal, settings} = getRouter(deployment, faultyHostIndexes.killed);
+			sendSignal('SIGKILL');
 			await deployment.clock.sleep(restartDelay);
 			await deployment.restartRouter(settings.host);
 		},
 	},
 	{
 		name: 'host paused', arrivalSeconds: defaultArrivalSeconds, async inject(deployment) {
-			const {sendSignal: signal} = getRouter(deployment, faultyHostIndexes.paused);
-			signal('SIGSTOP');
+			const {sendSignal} = getRouter(deployment, faultyHostIndexes.paused);
+			sendSignal('SIGSTOP');
 			await deployment.clock.sleep(pauseDuration);
-			signal('SIGCONT');
+			sendSignal('SIGCONT');
 		},
 	},
 	{
--- a/packages/bench/src/histories/host.ts
+++ b/packages/bench/src/histories/host.ts
@@ -142,9 +142,9 @@
 		isGone: (host: HostId, hostIncarnation: Incarnation) => simulation.goneIncarnations.has(`${host}.${hostIncarnation}`),
 		limits: benchClaimLimits,
 	};
-	const owner = createClaimStore(shared);
+	const claimStore = createClaimStore(shared);
 	const client = createClaimClient({
-		...shared, self: id, peers: createPeerCalls(simulation, createHostLink(peerTimeoutMs), id), getOwner, claimStore: owner,
+		...shared, self: id, peers: createPeerCalls(simulation, createHostLink(peerTimeoutMs), id), getOwner, claimStore,
 	});
 	const upstreamLink = createHostLink(upstreamTimeoutMs);
 	let sequence = 0;
@@ -160,7 +160,7 @@
 		id,
 		incarnation,
 		processState,
-		owner,
+		owner: claimStore,
 		client,
 		async book({booking, digest}, onRequest) {
 			await waitUntilRunning(processState, clock);
--- a/packages/bench/src/policy/run.ts
+++ b/packages/bench/src/policy/run.ts
@@ -37,7 +37,7 @@
 /** Fraction of the time during which flows burst. */
 const burstTimeFraction = 0.4;
 /** Lag of the engines' load reports, and downtime of a crashed engine. */
-const reportLag: Milliseconds = 2000;
+const reportDelay: Milliseconds = 2000;
 const stragglerSlowFactor = 4;
 const floodRateFactor = 6;
 const floodCustomers = {kopi: 'thriasio-coil', alfoldi: 'szolnok-coop'} as const;
@@ -103,7 +103,7 @@
 	});
 	clock.after(seconds * 1000 / 2, () => {
 		void crashing?.listener.crash();
-		clock.after(reportLag, () => {
+		clock.after(reportDelay, () => {
 			void crashing?.listener.restart();
 		});
 	});
@@ -117,7 +117,7 @@
 		hour: simulatedHour,
 		settings: {order: run.order, without: run.without},
 		transformConfiguration: removeCustomerLimits,
-		engine: run.faults === 'straggler-and-crash' ? {reportDelay: reportLag} : {},
+		engine: run.faults === 'straggler-and-crash' ? {reportDelay} : {},
 	});
 	await deployment.clock.sleep(warmUp);
 	const arrivals = createArrivals(run, deployment.configuration);
--- a/packages/bench/src/timeline/index.ts
+++ b/packages/bench/src/timeline/index.ts
@@ -20,7 +20,7 @@
 /** Returns the ratio of requests that met their targets, by the time step of their arrival; 1 for a step without arrivals. */
 const getAttainmentRatios = (records: CallRecord[], configuration: Configuration, seconds: number): number[] =>
 	Array.from({length: Math.ceil(seconds / secondsPerStep)}, (_, step) => {
-		const arrived = records.filter(({scheduledAt: at}) => Math.floor(at / (secondsPerStep * millisecondsPerSecond)) === step);
+		const arrived = records.filter(({scheduledAt}) => Math.floor(scheduledAt / (secondsPerStep * millisecondsPerSecond)) === step);
 		const attained = arrived.filter(record => isAttained(record, getTargets(configuration, record.className, rulesTime)));
 		return arrived.length === 0 ? 1 : attained.length / arrived.length;
 	});
--- a/packages/claims/src/commands/claim-client.ts
+++ b/packages/claims/src/commands/claim-client.ts
@@ -68,11 +68,11 @@
 	};
 };
 
-type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {owner: ClaimStore; limits: ClaimLimits};
+type SenderOptions = Pick<ClaimClientOptions, 'self' | 'peers' | 'getOwner' | 'metrics'> & {claimStore: ClaimStore; limits: ClaimLimits};
 
 /** Sends claims and settlements to the owner of their slot; if it gives no answer, this host stores them itself. */
 const createClaimSender = ({
-	self, peers, getOwner, metrics, owner, limits,
+	self, peers, getOwner, metrics, claimStore, limits,
 }: SenderOptions) => {
 	const getRemoteOwner = (key: ClaimKey): HostId | undefined => {
 		const host = getOwner(getOwnerKey(getSlot(key, limits)));
@@ -82,7 +82,7 @@
 	/** Stores the claim at this host after the slot's owner gave no answer. If the reason is `unknown`, the owner may have received the request: it may have stored the claim, or may still store it. */
 	const claimLocally = async (request: ClaimRequest, reason: string): Promise<ClaimDecision> => {
 		metrics.count('claim_fallbacks', {reason});
-		const decision = await owner.claim(self, request);
+		const decision = await claimStore.claim(self, request);
 		return decision.kind === 'unavailable' ? {...decision, undetermined: decision.undetermined === true || reason === 'unknown'} : decision;
 	};
 
@@ -90,7 +90,7 @@
 		async claim(request: ClaimRequest): Promise<ClaimDecision> {
 			const host = getRemoteOwner(request.key);
 			if (host === undefined) {
-				return owner.claim(self, request);
+				return claimStore.claim(self, request);
 			}
 
 			const outcome = await peers.claim(host, request);
@@ -99,11 +99,11 @@
 		async settle(settlement: ClaimSettlement): Promise<SettlementOutcome> {
 			const host = getRemoteOwner(settlement.key);
 			if (host === undefined) {
-				return owner.settle(self, settlement);
+				return claimStore.settle(self, settlement);
 			}
 
 			const outcome = await peers.settleClaim(host, settlement);
-			return outcome.kind === 'answered' ? outcome.answer : owner.settle(self, settlement);
+			return outcome.kind === 'answered' ? outcome.answer : claimStore.settle(self, settlement);
 		},
 	};
 };
@@ -111,8 +111,8 @@
 /** Creates the claim client of a host. */
 export const createClaimClient = (options: ClaimClientOptions): ClaimClient => {
 	const {clock, random, metrics, limits = options.claimStore?.limits ?? claimLimits} = options;
-	const owner = options.claimStore ?? createClaimStore({...options, limits});
-	const sender = createClaimSender({...options, owner, limits});
+	const claimStore = options.claimStore ?? createClaimStore({...options, limits});
+	const sender = createClaimSender({...options, claimStore, limits});
 	const settlements = createSettlementQueue({
 		clock, random, metrics, send: sender.settle,
 	});
@@ -162,8 +162,8 @@
 
 			settlements.add(settlement);
 		},
-		readClaim: async key => readClaim(owner.slots, key, limits),
-		readClaimByRequestId: async request => readClaimByRequestId(owner.slots, request),
+		readClaim: async key => readClaim(claimStore.slots, key, limits),
+		readClaimByRequestId: async request => readClaimByRequestId(claimStore.slots, request),
 		drain: async (limit = drainTimeout) => settlements.drain(limit),
 	};
 };
--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -18,10 +18,10 @@
 export const createRandom = (seed: number): Random => {
 	const generator = xoroshiro128plus(seed);
 	const next = (): number => (generator.next() + int32Offset) / uint32Range;
-	const below = (bound: number): number => Math.floor(next() * bound);
+	const nextInt = (bound: number): number => Math.floor(next() * bound);
 	return {
 		next,
-		nextInt: below,
-		pick: items => items[below(items.length)],
+		nextInt,
+		pick: items => items[nextInt(items.length)],
 	};
 };
--- a/packages/model/src/claims/replay.ts
+++ b/packages/model/src/claims/replay.ts
@@ -40,7 +40,7 @@
 	finished: {kind: 'finished', status: 200}, 'not-run': {kind: 'not-run'}, unknown: {kind: 'unknown', reason: 'cut'},
 } as const satisfies Record<SettledOutcome, ClaimOutcome>;
 
-/** Creates the claim owners of two hosts, on a fake key-value service that answers when an event of the trace says so. */
+/** Creates the claim stores of two hosts, on a fake key-value service that answers when an event of the trace says so. */
 export const createReplay = (): Replay => {
 	const clock: ManualClock = createManualClock();
 	const storedSlot = {revision: 0, value: undefined as string | undefined};
--- a/packages/model/src/configuration/configuration.test.ts
+++ b/packages/model/src/configuration/configuration.test.ts
@@ -80,7 +80,7 @@
 	return event.type === 'receive-answer' ? applyAnswer(host) : undefined;
 };
 
-test('applyVersion and chooseReading apply versions as the specification does in every reachable state', () => {
+test('applyVersion and choosePeerResult apply versions as the specification does in every reachable state', () => {
 	let checked = 0;
 	for (const {before, event, after} of getTransitions(hostFaultBounds)) {
 		const index = 'host' in event ? event.host : 0;
--- a/packages/platform/src/json-client.ts
+++ b/packages/platform/src/json-client.ts
@@ -103,11 +103,11 @@
 }: PlatformClientOptions): JsonClient => {
 	const agent = new Agent({keepAlive: true, maxSockets: maxConnections});
 
-	const startRequest = ({method, path, body, timeoutExtension: extraTime = 0}: JsonCall): ClientRequest => {
+	const startRequest = ({method, path, body, timeoutExtension = 0}: JsonCall): ClientRequest => {
 		const text = body === undefined ? undefined : JSON.stringify(body);
 		const headers = text === undefined ? {} : {'content-type': 'application/json', 'content-length': Buffer.byteLength(text)};
 		const outgoing = request(new URL(path, url), {
-			agent, method, headers, timeout: idleTimeout + extraTime,
+			agent, method, headers, timeout: idleTimeout + timeoutExtension,
 		});
 		outgoing.once('timeout', () => {
 			outgoing.destroy(new Error('silent'));
--- a/packages/router/src/dispatch/attempt-failure.ts
+++ b/packages/router/src/dispatch/attempt-failure.ts
@@ -19,7 +19,7 @@
 	rejection?: string;
 };
 
-const getSighting = (failure: CallFailure): UpstreamObservation['kind'] | undefined => {
+const getObservationKind = (failure: CallFailure): UpstreamObservation['kind'] | undefined => {
 	switch (failure.kind) {
 		case 'refused': {
 			return failure.code === 'leaving' ? 'leaving' : 'refused';
@@ -66,7 +66,7 @@
 		kind: 'lost',
 		error: rejection === undefined ? errorKinds[failure.kind] : 'upstream-rejected',
 		outcome: failure.kind,
-		sighting: getSighting(failure),
+		sighting: getObservationKind(failure),
 		ran: getRunState(failure),
 		...(rejection !== undefined && {rejection}),
 		...(failure.kind === 'refused' && failure.retryAfter !== undefined && {retryAfter: failure.retryAfter}),
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -66,8 +66,8 @@
 	context.accounts.apply({
 		kind: 'attempt-ended', request: request.id, upstream, outcome: failure?.outcome ?? outcomesByEndKind[record.kind], tokens, ran: record.ran,
 	});
-	const sighting = record.kind === 'finished' ? 'success' : failure?.sighting;
-	if (sighting !== undefined) {
-		context.recordSighting({upstream, at: context.clock.now(), kind: sighting});
+	const observedKind = record.kind === 'finished' ? 'success' : failure?.sighting;
+	if (observedKind !== undefined) {
+		context.recordSighting({upstream, at: context.clock.now(), kind: observedKind});
 	}
 };
--- a/packages/router/src/host-context.ts
+++ b/packages/router/src/host-context.ts
@@ -26,7 +26,7 @@
 	getHostAnswer: (zone: Zone | undefined) => HostListResponse;
 	/** Reads the account of a request from this host, another host or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
-	recordSighting: (sighting: UpstreamObservation) => void;
+	recordSighting: (observation: UpstreamObservation) => void;
 	/** Returns the rank of the lowest tier that the host admits while it is overloaded; undefined if it admits all. */
 	getRankLimit: () => Rank | undefined;
 	/** Whether the host closes callers' connections after each response, so that their next request goes to another host. */
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -52,8 +52,8 @@
 		return {ready: false, reason: shutdown.getState().kind};
 	}
 
-	const standing = follower.getStatus();
-	switch (standing) {
+	const status = follower.getStatus();
+	switch (status) {
 		case 'none': {
 			return {ready: false, reason: 'no configuration'};
 		}
--- a/packages/router/src/host/peer-handlers.ts
+++ b/packages/router/src/host/peer-handlers.ts
@@ -14,15 +14,15 @@
 };
 
 /** Creates the handlers of calls from other hosts. */
-export const createPeerHandlers = ({scheduling, claimStore: claimOwner, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
+export const createPeerHandlers = ({scheduling, claimStore, follower, accounts, modelPlacement}: PeerHandlersOptions): PeerHandlers => ({
 	exchangeGrants: async (from, message) => scheduling.groupOwner.handle(from, message),
 	async pushGrants(_from, message) {
 		scheduling.grants.applyDecisions(message);
 		return {received: true};
 	},
 	exchangeQuota: async (from, message) => scheduling.quotaOwner.handle(from, message),
-	claim: claimOwner.claim,
-	settleClaim: claimOwner.settle,
+	claim: claimStore.claim,
+	settleClaim: claimStore.settle,
 	readConfiguration: follower.readConfiguration,
 	readPlacementFacts: async () => modelPlacement.getOwnFacts(),
 	async readAccount(_from, {request}) {
--- a/packages/router/src/host/suspect-gossip.test.ts
+++ b/packages/router/src/host/suspect-gossip.test.ts
@@ -7,7 +7,7 @@
 
 test('suspects reach another host once, and aren\'t published back', async () => {
 	const clock = createManualClock();
-	const listeners: Array<(note: Announcement) => void> = [];
+	const listeners: Array<(announcement: Announcement) => void> = [];
 	const published: string[] = [];
 	const createHost = (self: string) => {
 		let suspects: Suspects = new Map();
--- a/packages/router/src/host/suspect-gossip.ts
+++ b/packages/router/src/host/suspect-gossip.ts
@@ -48,10 +48,10 @@
 			}
 		}
 	});
-	const cancelListener = membership.onAnnouncement(note => {
-		if (note.topic === 'suspect-request' && note.host !== self && note.value !== '') {
-			knownCrashCounts.set(note.key, note.value.split(crashSeparator).length);
-			groupOwner.mergeSuspects(new Map([[note.key, getSuspect(note, clock.now())]]));
+	const cancelListener = membership.onAnnouncement(announcement => {
+		if (announcement.topic === 'suspect-request' && announcement.host !== self && announcement.value !== '') {
+			knownCrashCounts.set(announcement.key, announcement.value.split(crashSeparator).length);
+			groupOwner.mergeSuspects(new Map([[announcement.key, getSuspect(announcement, clock.now())]]));
 		}
 	});
 	return () => {
--- a/packages/router/src/host/upstream-monitor.test.ts
+++ b/packages/router/src/host/upstream-monitor.test.ts
@@ -33,15 +33,15 @@
 		getDirectory: () => ({byId: new Map(), byAddress: new Map()}),
 	};
 	const upstreamMonitor = startUpstreamMonitor(options as unknown as UpstreamMonitorOptions);
-	const standings = new Set<string>();
+	const availabilities = new Set<string>();
 	for (let second = 0; second < 150; second++) {
 		upstreamMonitor.applyLoadReport('e1', leavingReport);
 		// eslint-disable-next-line no-await-in-loop -- Time passes between reports.
 		await clock.advance(1000);
-		standings.add(upstreamMonitor.getStanding('e1'));
+		availabilities.add(upstreamMonitor.getStanding('e1'));
 	}
 
-	expect([...standings]).toEqual(['leaving']);
+	expect([...availabilities]).toEqual(['leaving']);
 	expect(published.length).toBe(10);
 	upstreamMonitor.applyLoadReport('e1', {...leavingReport, leaving: false});
 	expect(upstreamMonitor.getStanding('e1')).toBe('available');
--- a/packages/router/src/host/upstream-monitor.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -15,7 +15,7 @@
 /** Health of upstreams as seen by this host, from its own traffic, other hosts, load reports, the host list and operators. */
 export type UpstreamMonitor = {
 	/** Records what an attempt of this host has shown about an upstream. */
-	recordSighting: (sighting: UpstreamObservation) => void;
+	recordSighting: (observation: UpstreamObservation) => void;
 	/** Records a load report; if the engine is leaving, announces this to all hosts. */
 	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Announces to all hosts that an operator drains an upstream, or has ended the drain. */
@@ -39,30 +39,30 @@
 	getDirectory: () => UpstreamDirectory;
 };
 
-const standingCheckInterval: Milliseconds = 200;
+const availabilityCheckInterval: Milliseconds = 200;
 const pollInterval: Milliseconds = 1000;
 /** Lifetimes of announcements to other hosts. */
 const failureLifetime: Milliseconds = 10_000;
 const leavingLifetime: Milliseconds = 30_000;
 const operatorDrainLifetime: Milliseconds = 24 * 60 * 60 * 1000;
 
-const sightingKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamObservation['kind']>;
+const observationKinds = ['success', 'refused', 'unreachable', 'reset', 'silent', 'error', 'leaving', 'crashed'] as const satisfies ReadonlyArray<UpstreamObservation['kind']>;
 
 /** Applies an announcement of another host to the health of upstreams. */
-const applyAnnouncement = (health: UpstreamHealth, clock: Clock, note: Announcement): void => {
-	switch (note.topic) {
+const applyAnnouncement = (health: UpstreamHealth, clock: Clock, announcement: Announcement): void => {
+	switch (announcement.topic) {
 		case 'upstream-failed': {
-			const kind = sightingKinds.find(name => name === note.value);
+			const kind = observationKinds.find(name => name === announcement.value);
 			if (kind !== undefined) {
-				health.record({upstream: note.key, at: clock.monotonic(), kind}, note.host);
+				health.record({upstream: announcement.key, at: clock.monotonic(), kind}, announcement.host);
 			}
 
 			break;
 		}
 
 		case 'upstream-leaving': {
-			const source: LeavingSource = note.value.startsWith('operator') ? 'operator' : 'upstream';
-			health.setLeaving(note.key, source, !note.value.endsWith('back') && note.value !== '');
+			const source: LeavingSource = announcement.value.startsWith('operator') ? 'operator' : 'upstream';
+			health.setLeaving(announcement.key, source, !announcement.value.endsWith('back') && announcement.value !== '');
 			break;
 		}
 
@@ -73,16 +73,16 @@
 	}
 };
 
-/** Creates a check that passes changes of an upstream's standing on to the owner of its group. */
-const createStandingCheck = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamMonitorOptions) => {
-	const reportedStandings = new Map<UpstreamId, UpstreamAvailability>();
+/** Creates a check that passes changes of an upstream's availability on to the owner of its group. */
+const createAvailabilityCheck = (health: UpstreamHealth, {groupOwner, getDirectory, logger}: UpstreamMonitorOptions) => {
+	const reportedAvailabilities = new Map<UpstreamId, UpstreamAvailability>();
 	return (): void => {
 		for (const id of getDirectory().byId.keys()) {
-			const standing = health.getAvailability(id);
-			if (standing !== (reportedStandings.get(id) ?? 'available')) {
-				reportedStandings.set(id, standing);
-				groupOwner.applyAvailability(id, standing);
-				logger.info('upstream-standing', {upstream: id, standing});
+			const availability = health.getAvailability(id);
+			if (availability !== (reportedAvailabilities.get(id) ?? 'available')) {
+				reportedAvailabilities.set(id, availability);
+				groupOwner.applyAvailability(id, availability);
+				logger.info('upstream-standing', {upstream: id, standing: availability});
 			}
 		}
 	};
@@ -137,7 +137,7 @@
 	const health = createUpstreamHealth({
 		clock, random, metrics, self, getEquivalentUpstreams: id => getGroups().find(group => group.upstreams.some(item => item.id === id))?.upstreams.map(item => item.id) ?? [id],
 	});
-	const checkStandings = createStandingCheck(health, options);
+	const checkAvailability = createAvailabilityCheck(health, options);
 
 	const announcedAt = new Map<UpstreamId, Milliseconds>();
 	const announceLeaving = (upstream: UpstreamId): void => {
@@ -146,7 +146,7 @@
 		membership.publishAnnouncement({
 			topic: 'upstream-leaving', key: upstream, value: 'upstream', duration: leavingLifetime,
 		});
-		checkStandings();
+		checkAvailability();
 	};
 
 	/** Renews the announcement of an upstream that is still leaving before the previous one expires. */
@@ -163,21 +163,21 @@
 		});
 	});
 	const cancels = [
-		membership.onAnnouncement(note => {
-			if (note.host !== self) {
-				applyAnnouncement(health, clock, note);
+		membership.onAnnouncement(announcement => {
+			if (announcement.host !== self) {
+				applyAnnouncement(health, clock, announcement);
 			}
 		}),
-		every(standingCheckInterval, checkStandings),
+		every(availabilityCheckInterval, checkAvailability),
 		startHostListPolling(health, options),
 		startProbes(health, options),
 	];
 	return {
-		recordSighting(sighting) {
-			metrics.count('upstream_sightings_total', {kind: sighting.kind});
-			health.record({...sighting, at: clock.monotonic()}, self);
-			if (sighting.kind === 'leaving') {
-				announceLeaving(sighting.upstream);
+		recordSighting(observation) {
+			metrics.count('upstream_sightings_total', {kind: observation.kind});
+			health.record({...observation, at: clock.monotonic()}, self);
+			if (observation.kind === 'leaving') {
+				announceLeaving(observation.upstream);
 			}
 		},
 		applyLoadReport(upstream, report) {
@@ -196,7 +196,7 @@
 			membership.publishAnnouncement({
 				topic: 'upstream-leaving', key: upstream, value: isLeaving ? 'operator' : 'operator-back', duration: operatorDrainLifetime,
 			});
-			checkStandings();
+			checkAvailability();
 		},
 		getStanding: health.getAvailability,
 		stop() {
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -54,9 +54,9 @@
 	/** Records the latest load report of an upstream, and grants slots that it shows to be free. */
 	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Records that a host has seen an upstream leave or crash; other kinds have no effect here. */
-	applySighting: (sighting: UpstreamObservation) => void;
+	applySighting: (observation: UpstreamObservation) => void;
 	/** Records the availability of an upstream. */
-	applyAvailability: (upstream: UpstreamId, standing: UpstreamAvailability) => void;
+	applyAvailability: (upstream: UpstreamId, availability: UpstreamAvailability) => void;
 	/** Records prefixes that an upstream has stored in its cache or evicted from it. */
 	applyCacheEvents: (upstream: UpstreamId, events: readonly CacheEvent[]) => void;
 	/** Returns the requests suspected of crashing upstreams, by fingerprint. */
@@ -127,8 +127,8 @@
 		this.#grantFreeSlots();
 	};
 
-	readonly applyAvailability = (upstream: UpstreamId, standing: UpstreamAvailability): void => {
-		this.#registry.applyStanding(upstream, standing, this.#getUpstreamStates(upstream));
+	readonly applyAvailability = (upstream: UpstreamId, availability: UpstreamAvailability): void => {
+		this.#registry.applyStanding(upstream, availability, this.#getUpstreamStates(upstream));
 		this.#grantFreeSlots();
 	};
 
--- a/packages/trial/src/commands/start-deployment.ts
+++ b/packages/trial/src/commands/start-deployment.ts
@@ -100,10 +100,10 @@
 export const startDeployment = async (options: DeploymentOptions): Promise<Deployment> => {
 	const clock = createSystemClock();
 	const example = await readExample(options.deployment);
-	const change = options.transformConfiguration ?? (configuration => configuration);
+	const transform = options.transformConfiguration ?? (configuration => configuration);
 	const fakes = await startFakes(example.configuration.inventory, {...trialEngine, ...options.engine});
 	const timeZone = getTimeZone(clock.now(), options.hour ?? defaultHour);
-	const configuration = change(getTrialConfiguration(example.configuration, fakes.addresses, timeZone));
+	const configuration = transform(getTrialConfiguration(example.configuration, fakes.addresses, timeZone));
 	publishConfiguration(fakes.keyValue, configuration, clock.now());
 	const settings = await createSettings(fakes, configuration, options);
 	fakes.hostList.setHosts(getListedHosts(settings, configuration, fakes.addresses));
--- a/packages/trial/src/commands/start-router.ts
+++ b/packages/trial/src/commands/start-router.ts
@@ -17,7 +17,7 @@
 	/** Resolves with the exit code, or the signal's name, once the process has exited. */
 	exited: Promise<number | string>;
 	sendSignal: (name: NodeJS.Signals) => void;
-	/** Sends SIGTERM, and SIGKILL after the timeout; resolves like `ended`. */
+	/** Sends SIGTERM, and SIGKILL after the timeout; resolves like `exited`. */
 	stop: (timeout?: Milliseconds) => Promise<number | string>;
 };
 
@@ -40,12 +40,12 @@
 	const child = spawn(process.execPath, [routerProgram, '--settings', settingsFile], {stdio: ['ignore', 'pipe', 'pipe']});
 	child.stdout.pipe(log, {end: false});
 	child.stderr.pipe(log, {end: false});
-	const ended = waitForExit(child);
+	const exited = waitForExit(child);
 	return {
 		settings,
 		pid: child.pid ?? 0,
 		logFile,
-		exited: ended,
+		exited,
 		sendSignal(name) {
 			child.kill(name);
 		},
@@ -54,7 +54,7 @@
 			const cancel = clock.after(timeout, () => {
 				child.kill('SIGKILL');
 			});
-			const outcome = await ended;
+			const outcome = await exited;
 			cancel();
 			return outcome;
 		},
--- a/packages/trial/src/queries/get-report.ts
+++ b/packages/trial/src/queries/get-report.ts
@@ -142,7 +142,7 @@
 	const {classes} = configuration.rules;
 	const work = countWork(fakes, (method, path) =>
 		classes.find(({match}) => match.method === method && path.startsWith(match.pathPrefix ?? ''))?.name ?? '');
-	const end = Math.max(1, ...records.map(({scheduledAt: at, timeToCompletion: wholeAfter}) => at + wholeAfter));
+	const end = Math.max(1, ...records.map(({scheduledAt, timeToCompletion}) => scheduledAt + timeToCompletion));
 	return {
 		classes: classes.map(({name}) => getClassReport({
 			className: name,
--- a/packages/types/src/inventory.ts
+++ b/packages/types/src/inventory.ts
@@ -9,7 +9,7 @@
 
 /** Whether an engine rejects an order with an old fencing number or ignores the number. */
 export const fencingSupports = ['checked', 'ignored'] as const;
-/** One of `fencingKinds`. */
+/** One of `fencingSupports`. */
 export type FencingSupport = typeof fencingSupports[number];
 
 /** A model engine, from the operators' asset register. */
--- a/packages/types/src/peer.ts
+++ b/packages/types/src/peer.ts
@@ -102,22 +102,22 @@
 	Promise<Extract<Awaited<ReturnType<PeerCalls[Name]>>, {kind: 'answered'}>['answer']>;
 };
 
-/** Topics of the notes that hosts gossip. */
+/** Topics of the announcements that hosts gossip. */
 export const announcementTopics = ['upstream-leaving', 'upstream-failed', 'suspect-request'] as const;
-/** One of `noteTopics`. */
+/** One of `announcementTopics`. */
 export type AnnouncementTopic = typeof announcementTopics[number];
 
 /** A short statement that is gossiped to all hosts with the membership messages; for each topic, key and host only the latest one is valid. */
 export type Announcement = {
 	topic: AnnouncementTopic;
-	/** Subject of the note, such as an upstream's name or a request's fingerprint. */
+	/** Subject of the announcement, such as an upstream's name or a request's fingerprint. */
 	key: string;
-	/** Content of the note; empty if the statement no longer holds. */
+	/** Content of the announcement; empty if the statement no longer holds. */
 	value: string;
-	/** Host that published the note. */
+	/** Host that published the announcement. */
 	host: HostId;
-	/** Increases with each note that the host publishes. */
+	/** Increases with each announcement that the host publishes. */
 	sequence: number;
-	/** Time for which the note is valid after it was received. */
+	/** Time for which the announcement is valid after it was received. */
 	duration: Milliseconds;
 };
--- a/packages/upstream/src/health/upstream-health.ts
+++ b/packages/upstream/src/health/upstream-health.ts
@@ -38,7 +38,7 @@
 const maxEjectedFraction = 0.5;
 
 /** Creates the health state of the upstreams, all of which start as available. */
-export const createUpstreamHealth = ({clock, random, metrics, self, getEquivalentUpstreams: getPeers}: UpstreamHealthOptions): UpstreamHealth => {
+export const createUpstreamHealth = ({clock, random, metrics, self, getEquivalentUpstreams}: UpstreamHealthOptions): UpstreamHealth => {
 	const states = new Map<UpstreamId, UpstreamState>();
 	const leavingUpstreams = createLeavingUpstreams();
 	const listeners = new Set<(observation: UpstreamObservation) => void>();
@@ -59,7 +59,7 @@
 			return true;
 		}
 
-		const equivalents = getPeers(upstream);
+		const equivalents = getEquivalentUpstreams(upstream);
 		const ejected = equivalents.filter(equivalent => isEjected(equivalent)).length;
 		return ejected + 1 <= equivalents.length * maxEjectedFraction;
 	};
