--- a/packages/clock/src/random.ts
+++ b/packages/clock/src/random.ts
@@ -5,7 +5,7 @@
 	/** Returns a uniform number in [0, 1). */
 	next: () => number;
 	/** Returns a uniform integer in [0, `bound`). */
-	below: (bound: number) => number;
+	nextInt: (bound: number) => number;
 	/** Returns a uniformly chosen item; undefined if there are none. */
 	pick: <Item>(items: readonly Item[]) => Item | undefined;
 };
@@ -18,10 +18,10 @@
 export const createRandom = (seed: number): Random => {
 	const generator = xoroshiro128plus(seed);
 	const next = (): number => (generator.next() + int32Offset) / uint32Range;
-	const below = (bound: number): number => Math.floor(next() * bound);
+	const nextInt = (bound: number): number => Math.floor(next() * bound);
 	return {
 		next,
-		below,
-		pick: items => items[below(items.length)],
+		nextInt,
+		pick: items => items[nextInt(items.length)],
 	};
 };
--- a/packages/trial/src/commands/start-router.ts
+++ b/packages/trial/src/commands/start-router.ts
@@ -15,9 +15,9 @@
 	/** File to which the process's output is appended. */
 	logFile: string;
 	/** Resolves with the exit code, or the signal's name, once the process has exited. */
-	ended: Promise<number | string>;
-	signal: (name: NodeJS.Signals) => void;
-	/** Sends SIGTERM, and SIGKILL after the timeout; resolves like `ended`. */
+	exited: Promise<number | string>;
+	sendSignal: (name: NodeJS.Signals) => void;
+	/** Sends SIGTERM, and SIGKILL after the timeout; resolves like `exited`. */
 	stop: (timeout?: Milliseconds) => Promise<number | string>;
 };
 
@@ -40,13 +40,13 @@
 	const child = spawn(process.execPath, [routerProgram, '--settings', settingsFile], {stdio: ['ignore', 'pipe', 'pipe']});
 	child.stdout.pipe(log, {end: false});
 	child.stderr.pipe(log, {end: false});
-	const ended = waitForExit(child);
+	const exited = waitForExit(child);
 	return {
 		settings,
 		pid: child.pid ?? 0,
 		logFile,
-		ended,
-		signal(name) {
+		exited,
+		sendSignal(name) {
 			child.kill(name);
 		},
 		async stop(timeout = defaultStopTimeout) {
@@ -54,7 +54,7 @@
 			const cancel = clock.after(timeout, () => {
 				child.kill('SIGKILL');
 			});
-			const outcome = await ended;
+			const outcome = await exited;
 			cancel();
 			return outcome;
 		},
