--- a/packages/discovery/src/exchange-reports.ts
+++ b/packages/discovery/src/exchange-reports.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@gentianlift/clock';
 import type {Logger} from '@gentianlift/logger';
 import type {
-	Crash, CrashSuspects, UpstreamKey,
+	SuspectedCrash, CrashSuspects, UpstreamKey,
 } from '@gentianlift/routing';
 import type {HostId, Milliseconds} from '@gentianlift/types';
 import type {HostRecord} from './host-record.js';
@@ -18,12 +18,12 @@
 	/** Reports that a prompt was sent to an upstream. */
 	addPrefill: (prefill: Prefill) => void;
 	/** Reports a crash of an upstream that a request may have caused. */
-	addCrash: (crash: Crash) => void;
+	addCrash: (crash: SuspectedCrash) => void;
 	/** Reports that a suspected request has run to completion. */
 	addClearedSuspect: (fingerprint: string) => void;
 	/** Reports at once that this host is shutting down. */
 	markStopping: () => void;
-	/** Returns the newest revision of the key-value service that recent reports name; 0 without a recent report. */
+	/** Returns the newest revision of the store that recent reports name; 0 without a recent report. */
 	getNewestRevision: () => number;
 	/** Returns the time since the last report of any other host; infinite if there was none. */
 	getShortestSilence: () => Milliseconds;
@@ -31,9 +31,9 @@
 	getSilence: (host: HostId) => Milliseconds;
 	/** Returns whether a host has reported that it is shutting down. */
 	isStopping: (host: HostId) => boolean;
-	/** Sends changes of the key-value service to the hosts of which this one is the relay. */
+	/** Sends changes of the store to the hosts of which this one is the relay. */
 	sendChanges: (batch: ChangeBatch) => void;
-	/** Returns whether a relay currently sends this host the changes of the key-value service. */
+	/** Returns whether a relay currently sends this host the changes of the store. */
 	hasRelayFeed: () => boolean;
 	close: () => void;
 };
@@ -48,13 +48,13 @@
 	loads: LoadTracker;
 	suspects: CrashSuspects;
 	getRevision: () => number;
-	/** Returns whether this host itself reaches the key-value service. */
+	/** Returns whether this host reaches the store. */
 	isStoreReached: () => boolean;
 	/** Called with each prompt that another host has sent to an upstream. */
 	onPrefill: (prefill: Prefill) => void;
 	/** Called after the load of other hosts has changed. */
 	onLoad: () => void;
-	/** Called with the changes of the key-value service that a relay has sent. */
+	/** Called with the changes of the store that a relay has sent. */
 	onChanges: (batch: ChangeBatch) => void;
 };
 
@@ -62,7 +62,7 @@
 const batchDelay: Milliseconds = 3;
 /** Largest fleet whose reports need no minimum spacing. */
 const maxUnspacedHosts = 16;
-/** Minimum time between two reports of a host, per host of the fleet: it keeps the total rate independent of the fleet's size. */
+/** Minimum spacing of one host's reports of changes, multiplied by the number of hosts, so that the total rate of these reports doesn't depend on the fleet's size. */
 const reportSpacingPerHost: Milliseconds = 0.8;
 /** Interval of full reports, which repeat loads that have changed lately. */
 const fullReportInterval: Milliseconds = 500;
@@ -73,7 +73,7 @@
 /** Number of reports that carry a crash, as datagrams get lost. */
 const crashRepeats = 6;
 
-type PendingCrash = {crash: Crash; remainingReports: number};
+type PendingCrash = {crash: SuspectedCrash; remainingReports: number};
 
 /** Starts to exchange load reports with the other hosts. */
 export const exchangeReports = (options: ReportExchangeOptions): LoadReportExchange => {
@@ -183,6 +183,7 @@
 		loads.dropSilentHosts(clock.monotonic());
 		sendFullReport();
 		if (options.isStoreReached()) {
+			// An empty batch tells the group that the relay feed is alive.
 			const revision = options.getRevision();
 			broadcaster.sendChanges({after: revision, revision, changes: []});
 		}
--- a/packages/forwarder/src/deliver.ts
+++ b/packages/forwarder/src/deliver.ts
@@ -4,11 +4,11 @@
 import {isComplete, type Incoming} from './incoming.js';
 import type {AnswerHead} from './protocol.js';
 
-/** How the delivery of a stream ended: `cut` before its end, `broken` if an event is missing, so that it can't be continued. */
-export type Delivery = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
+/** How the delivery of a stream ended: `complete` with its last event, `cut` before that, `broken` because the upstream left out an event, so that no upstream can continue it. */
+export type DeliveryOutcome = {kind: 'complete'} | {kind: 'cut'; reason: string} | {kind: 'broken'; reason: string};
 
 /** Options of the delivery of a stream from an upstream to a caller. */
-export type StreamDelivery = {
+export type StreamDeliveryOptions = {
 	head: AnswerHead;
 	answer: Incoming;
 	response: ServerResponse;
@@ -26,7 +26,7 @@
 	response.writeHead(status, [...forwarded, ...(isClosing ? ['Connection', 'close'] : [])]);
 };
 
-/** Returns the events that the caller has not received yet, or undefined if one before them is missing. */
+/** Returns the events that the caller has not received yet, or undefined if one before them is missing. Upstreams number the events of a stream consecutively. */
 const getNewEvents = (events: readonly StreamEvent[], progress: Progress): StreamEvent[] | undefined => {
 	const newEvents: StreamEvent[] = [];
 	for (const event of events) {
@@ -43,7 +43,7 @@
 };
 
 /** Delivers a stream as it arrives, with backpressure from the caller. */
-export const deliverStream = async (delivery: StreamDelivery): Promise<Delivery> => new Promise(resolve => {
+export const deliverStream = async (delivery: StreamDeliveryOptions): Promise<DeliveryOutcome> => new Promise(resolve => {
 	const {
 		head, answer, response, progress, isResumable,
 	} = delivery;
