--- a/packages/router/src/callers/queries/index.ts
+++ b/packages/router/src/callers/queries/index.ts
@@ -9,7 +9,7 @@
 	const queryZone = new URL(request.url ?? '/', 'http://callers').searchParams.get('zone');
 	const headerZone = request.headers['x-zone'];
 	const zone = queryZone ?? (typeof headerZone === 'string' ? headerZone : undefined);
-	sendJson(response, 200, context.getHostAnswer(zone));
+	sendJson(response, 200, context.getHostListResponse(zone));
 };
 
 /** Handles `GET /v1/models` with the models and adapters of the inventory; throws the failure to report. */
--- a/packages/router/src/dispatch/attempt-failure.test.ts
+++ b/packages/router/src/dispatch/attempt-failure.test.ts
@@ -4,12 +4,12 @@
 test('distinguishes a rejected request from an upstream failure', () => {
 	expect(describeCallFailure({kind: 'failed', status: 400, text: 'context too long'})).toMatchObject({error: 'upstream-rejected', ran: 'not-run', rejection: 'context too long'});
 	expect(describeCallFailure({kind: 'failed', status: 429, text: ''})).toMatchObject({error: 'upstream-failed'});
-	expect(describeCallFailure({kind: 'failed', status: 500, text: ''})).toMatchObject({error: 'upstream-failed', ran: 'ran', sighting: 'error'});
+	expect(describeCallFailure({kind: 'failed', status: 500, text: ''})).toMatchObject({error: 'upstream-failed', ran: 'ran', observation: 'error'});
 });
 
 test('reports a connection reset as a crash only if the upstream cannot be reached afterwards', async () => {
 	const lost = describeCallFailure({kind: 'reset', reason: 'mid-answer'});
 	const probe = async (kind: 'success' | 'unreachable') => detectCrash({checkHealth: async () => kind}, 'a:1', lost);
-	expect(await probe('success')).toMatchObject({sighting: 'reset'});
-	expect(await probe('unreachable')).toMatchObject({sighting: 'crashed'});
+	expect(await probe('success')).toMatchObject({observation: 'reset'});
+	expect(await probe('unreachable')).toMatchObject({observation: 'crashed'});
 });
--- a/packages/router/src/dispatch/attempt-failure.ts
+++ b/packages/router/src/dispatch/attempt-failure.ts
@@ -11,7 +11,7 @@
 	error: ErrorKind;
 	outcome: AttemptOutcome;
 	/** What the failure says about the health of the upstream; undefined if nothing. */
-	sighting: UpstreamObservation['kind'] | undefined;
+	observation: UpstreamObservation['kind'] | undefined;
 	/** Whether the upstream executed the request, as far as the router knows. */
 	ran: RunState;
 	retryAfter?: Milliseconds;
@@ -66,7 +66,7 @@
 		kind: 'lost',
 		error: rejection === undefined ? errorKinds[failure.kind] : 'upstream-rejected',
 		outcome: failure.kind,
-		sighting: getObservationKind(failure),
+		observation: getObservationKind(failure),
 		ran: getRunState(failure),
 		...(rejection !== undefined && {rejection}),
 		...(failure.kind === 'refused' && failure.retryAfter !== undefined && {retryAfter: failure.retryAfter}),
@@ -75,10 +75,10 @@
 
 /** Distinguishes a crash from a lost connection by a health check after a connection reset: an upstream that crashed accepts no new connections. */
 export const detectCrash = async (upstreams: Pick<UpstreamClient, 'checkHealth'>, address: Address, failure: AttemptFailure): Promise<AttemptFailure> => {
-	if (failure.sighting !== 'reset') {
+	if (failure.observation !== 'reset') {
 		return failure;
 	}
 
 	const health = await upstreams.checkHealth(address);
-	return health === 'unreachable' ? {...failure, sighting: 'crashed'} : failure;
+	return health === 'unreachable' ? {...failure, observation: 'crashed'} : failure;
 };
--- a/packages/router/src/dispatch/grants.ts
+++ b/packages/router/src/dispatch/grants.ts
@@ -60,14 +60,14 @@
 		kind: record.kind,
 		tokens,
 		duration: Math.round(record.duration),
-		...(failure?.sighting === 'crashed' && {crashed: true}),
+		...(failure?.observation === 'crashed' && {crashed: true}),
 		...(record.firstTokenAfter !== undefined && {firstTokenAfter: Math.round(record.firstTokenAfter)}),
 	});
 	context.accounts.apply({
 		kind: 'attempt-ended', request: request.id, upstream, outcome: failure?.outcome ?? outcomesByEndKind[record.kind], tokens, ran: record.ran,
 	});
-	const observedKind = record.kind === 'finished' ? 'success' : failure?.sighting;
+	const observedKind = record.kind === 'finished' ? 'success' : failure?.observation;
 	if (observedKind !== undefined) {
-		context.recordSighting({upstream, at: context.clock.now(), kind: observedKind});
+		context.recordObservation({upstream, at: context.clock.now(), kind: observedKind});
 	}
 };
--- a/packages/router/src/dispatch/run-generation.ts
+++ b/packages/router/src/dispatch/run-generation.ts
@@ -55,7 +55,7 @@
 
 const addAttempt = (progress: Progress, upstream: UpstreamId, end: GenerationAttemptEnd, ran: RunState): Progress => ({
 	...progress,
-	crashes: progress.crashes + (end.result.kind === 'lost' && end.result.sighting === 'crashed' ? 1 : 0),
+	crashes: progress.crashes + (end.result.kind === 'lost' && end.result.observation === 'crashed' ? 1 : 0),
 	avoid: end.result.kind === 'lost' ? [...progress.avoid, upstream] : progress.avoid,
 	text: progress.text + end.text,
 	tokens: progress.tokens + end.tokens,
--- a/packages/router/src/host-context.ts
+++ b/packages/router/src/host-context.ts
@@ -23,10 +23,10 @@
 	/** Returns the current configuration; undefined while the host has none, or is cut off from the key-value service and all other hosts. */
 	getConfiguration: () => ConfigurationVersion | undefined;
 	getDirectory: () => UpstreamDirectory;
-	getHostAnswer: (zone: Zone | undefined) => HostListResponse;
+	getHostListResponse: (zone: Zone | undefined) => HostListResponse;
 	/** Reads the account of a request from this host, another host or its claim. */
 	readAccount: (id: RequestId, customer: CustomerId) => Promise<Account | undefined>;
-	recordSighting: (observation: UpstreamObservation) => void;
+	recordObservation: (observation: UpstreamObservation) => void;
 	/** Returns the rank of the lowest tier that the host admits while it is overloaded; undefined if it admits all. */
 	getRankLimit: () => Rank | undefined;
 	/** Whether the host closes callers' connections after each response, so that their next request goes to another host. */
--- a/packages/router/src/host/fleet.ts
+++ b/packages/router/src/host/fleet.ts
@@ -14,7 +14,7 @@
 	getMember: (host: HostId) => Member | undefined;
 	getOwnerOf: (key: string) => HostId | undefined;
 	getOwners: (key: string, count: number) => readonly HostId[];
-	getHostAnswer: (zone: Zone | undefined) => HostListResponse;
+	getHostListResponse: (zone: Zone | undefined) => HostListResponse;
 	/** Whether the given incarnation of a host is known to have ended. */
 	hasEnded: (host: HostId, incarnation: Incarnation) => boolean;
 };
@@ -63,7 +63,7 @@
 			refresh();
 			return getOwners(key, eligibleHosts, count);
 		},
-		getHostAnswer: zone => getHostListResponse(readMembers(), zone, timeToLive, random),
+		getHostListResponse: zone => getHostListResponse(readMembers(), zone, timeToLive, random),
 		hasEnded(host, incarnation) {
 			const member = getMember(host);
 			return member !== undefined && (member.incarnation > incarnation || (member.incarnation === incarnation && member.state === 'gone'));
--- a/packages/router/src/host/operator-actions.ts
+++ b/packages/router/src/host/operator-actions.ts
@@ -94,7 +94,7 @@
 			zone: getDirectory().byId.get(id)?.zone ?? '',
 			group: group.id,
 			owner: fleet.getOwnerOf(group.id),
-			standing: upstreamMonitor.getStanding(id),
+			standing: upstreamMonitor.getAvailability(id),
 			running: overview?.upstreams.find(({upstream}) => upstream === id)?.running ?? 0,
 			waiting: overview?.ranks.reduce((sum, {waiting}) => sum + waiting, 0) ?? 0,
 		};
--- a/packages/router/src/host/start-host.ts
+++ b/packages/router/src/host/start-host.ts
@@ -56,9 +56,9 @@
 	createRequestId: createRequestIds(infrastructure.settings.host, infrastructure.incarnation),
 	getConfiguration: () => network.follower.getStatus() === 'isolated' ? undefined : network.follower.getCurrent(),
 	getDirectory: requestHandling.getDirectory,
-	getHostAnswer: network.fleet.getHostAnswer,
+	getHostListResponse: network.fleet.getHostListResponse,
 	readAccount: requestHandling.readAccount,
-	recordSighting: requestHandling.upstreamMonitor.recordSighting,
+	recordObservation: requestHandling.upstreamMonitor.recordObservation,
 	getRankLimit: overloadMonitor.getRankLimit,
 	isDraining: () => getShutdown().getState().kind !== 'serving',
 });
--- a/packages/router/src/host/upstream-monitor.test.ts
+++ b/packages/router/src/host/upstream-monitor.test.ts
@@ -38,12 +38,12 @@
 		upstreamMonitor.applyLoadReport('e1', leavingReport);
 		// eslint-disable-next-line no-await-in-loop -- Time passes between reports.
 		await clock.advance(1000);
-		availabilities.add(upstreamMonitor.getStanding('e1'));
+		availabilities.add(upstreamMonitor.getAvailability('e1'));
 	}
 
 	expect([...availabilities]).toEqual(['leaving']);
 	expect(published.length).toBe(10);
 	upstreamMonitor.applyLoadReport('e1', {...leavingReport, leaving: false});
-	expect(upstreamMonitor.getStanding('e1')).toBe('available');
+	expect(upstreamMonitor.getAvailability('e1')).toBe('available');
 	upstreamMonitor.stop();
 });
--- a/packages/router/src/host/upstream-monitor.ts
+++ b/packages/router/src/host/upstream-monitor.ts
@@ -15,12 +15,12 @@
 /** Health of upstreams as seen by this host, from its own traffic, other hosts, load reports, the host list and operators. */
 export type UpstreamMonitor = {
 	/** Records what an attempt of this host has shown about an upstream. */
-	recordSighting: (observation: UpstreamObservation) => void;
+	recordObservation: (observation: UpstreamObservation) => void;
 	/** Records a load report; if the engine is leaving, announces this to all hosts. */
 	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Announces to all hosts that an operator drains an upstream, or has ended the drain. */
 	setOperatorDrain: (upstream: UpstreamId, isLeaving: boolean) => void;
-	getStanding: (upstream: UpstreamId) => UpstreamAvailability;
+	getAvailability: (upstream: UpstreamId) => UpstreamAvailability;
 	stop: Cancel;
 };
 
@@ -173,7 +173,7 @@
 		startProbes(health, options),
 	];
 	return {
-		recordSighting(observation) {
+		recordObservation(observation) {
 			metrics.count('upstream_sightings_total', {kind: observation.kind});
 			health.record({...observation, at: clock.monotonic()}, self);
 			if (observation.kind === 'leaving') {
@@ -198,7 +198,7 @@
 			});
 			checkAvailability();
 		},
-		getStanding: health.getAvailability,
+		getAvailability: health.getAvailability,
 		stop() {
 			for (const cancel of cancels) {
 				cancel();
--- a/packages/scheduler/src/owner/commands/preempt.ts
+++ b/packages/scheduler/src/owner/commands/preempt.ts
@@ -71,7 +71,7 @@
 
 /** Returns the runs on upstreams that could serve the entry. */
 const getCompetingRuns = (state: GroupState, {ticket}: TrackedTicket): TrackedTicket[] => [...state.upstreams.values()]
-	.filter(({upstream, standing}) => standing === 'available' && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
+	.filter(({upstream, availability}) => availability === 'available' && canProvide(upstream, ticket.needs) && !ticket.avoid.includes(upstream.id))
 	.flatMap(({running}) => [...running]);
 
 /** Whether a run may be preempted: it is idempotent and no service call, its tier uses more slots than its floor, and it has been preempted fewer than `maxPreemptions` times. */
--- a/packages/scheduler/src/owner/create-group-owner.ts
+++ b/packages/scheduler/src/owner/create-group-owner.ts
@@ -54,7 +54,7 @@
 	/** Records the latest load report of an upstream, and grants slots that it shows to be free. */
 	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport) => void;
 	/** Records that a host has seen an upstream leave or crash; other kinds have no effect here. */
-	applySighting: (observation: UpstreamObservation) => void;
+	applyObservation: (observation: UpstreamObservation) => void;
 	/** Records the availability of an upstream. */
 	applyAvailability: (upstream: UpstreamId, availability: UpstreamAvailability) => void;
 	/** Records prefixes that an upstream has stored in its cache or evicted from it. */
@@ -128,7 +128,7 @@
 	};
 
 	readonly applyAvailability = (upstream: UpstreamId, availability: UpstreamAvailability): void => {
-		this.#registry.applyStanding(upstream, availability, this.#getUpstreamStates(upstream));
+		this.#registry.applyAvailability(upstream, availability, this.#getUpstreamStates(upstream));
 		this.#grantFreeSlots();
 	};
 
@@ -136,7 +136,7 @@
 		this.#registry.applyCacheEvents(events, this.#getUpstreamStates(upstream));
 	};
 
-	readonly applySighting = ({upstream, kind}: UpstreamObservation): void => {
+	readonly applyObservation = ({upstream, kind}: UpstreamObservation): void => {
 		if (kind === 'leaving') {
 			this.applyAvailability(upstream, 'leaving');
 		}
--- a/packages/scheduler/src/owner/create-group-state.ts
+++ b/packages/scheduler/src/owner/create-group-state.ts
@@ -53,7 +53,7 @@
 /** Creates the state of an upstream with no known load or runs. */
 export const createUpstreamState = (upstream: Group['upstreams'][number]): UpstreamState => ({
 	upstream,
-	standing: 'available',
+	availability: 'available',
 	running: new Set(),
 	recentRuns: [],
 	cachedPrefixes: new Set(),
--- a/packages/scheduler/src/owner/queries/candidates.ts
+++ b/packages/scheduler/src/owner/queries/candidates.ts
@@ -25,7 +25,7 @@
 	const stragglers = getStragglers(state, speeds);
 	return [...state.upstreams.values()].map(upstream => ({
 		upstream: upstream.upstream,
-		acceptsRequests: upstream.standing === 'available' || upstream.standing === 'probing',
+		acceptsRequests: upstream.availability === 'available' || upstream.availability === 'probing',
 		load: getUpstreamLoad(state, upstream),
 		slots: getUpstreamSlots(state, upstream, stragglers.has(upstream)),
 		relativeSpeed: speeds.get(upstream) ?? 1,
@@ -52,9 +52,9 @@
 	return !report.leaving && ticket.needs.every(need => need.startsWith('service:') || loaded.has(need));
 };
 
-const getUpstreamSlots = (state: GroupState, {standing, upstream, load, slotHoldRatio}: UpstreamState, isStraggler: boolean): number => {
+const getUpstreamSlots = (state: GroupState, {availability, upstream, load, slotHoldRatio}: UpstreamState, isStraggler: boolean): number => {
 	const isUnreconciled = load === undefined && state.context.clock.monotonic() < state.reconciledAt;
-	if (standing === 'probing') {
+	if (availability === 'probing') {
 		return 1;
 	}
 
--- a/packages/scheduler/src/owner/queries/overview.ts
+++ b/packages/scheduler/src/owner/queries/overview.ts
@@ -25,8 +25,8 @@
 	...getSlotOverview(state),
 	ranks: getRankOverviews(state),
 	demand: getDemand(state),
-	upstreams: [...state.upstreams].map(([upstream, {standing, running, timePerOutputToken}]) => ({
-		upstream, standing, running: running.size, timePerOutputToken: timePerOutputToken.mean,
+	upstreams: [...state.upstreams].map(([upstream, {availability, running, timePerOutputToken}]) => ({
+		upstream, standing: availability, running: running.size, timePerOutputToken: timePerOutputToken.mean,
 	})),
 });
 
--- a/packages/scheduler/src/owner/state.ts
+++ b/packages/scheduler/src/owner/state.ts
@@ -61,7 +61,7 @@
 /** The owner's view of an upstream. */
 export type UpstreamState = {
 	upstream: GroupUpstream;
-	standing: UpstreamAvailability;
+	availability: UpstreamAvailability;
 	/** Latest load report. `measuredAt` is the time of the measurement, converted to the owner's monotonic clock. */
 	load?: {report: EngineLoadReport; measuredAt: Milliseconds; receivedAt: Milliseconds};
 	running: Set<TrackedTicket>;
@@ -135,8 +135,8 @@
 /** Returns how many slots this owner may use on all upstreams of a group that accept requests; at least 1. */
 export const getUsableSlots = (state: GroupState): number => {
 	let slots = 0;
-	for (const {standing, upstream} of state.upstreams.values()) {
-		slots += standing === 'available' || standing === 'probing' ? upstream.slots : 0;
+	for (const {availability, upstream} of state.upstreams.values()) {
+		slots += availability === 'available' || availability === 'probing' ? upstream.slots : 0;
 	}
 
 	return Math.max(1, slots * state.ownerSlotFraction);
--- a/packages/scheduler/src/owner/upstream-registry.ts
+++ b/packages/scheduler/src/owner/upstream-registry.ts
@@ -11,20 +11,20 @@
 /** The latest status and load of each upstream, kept for groups that are created later. */
 export type UpstreamRegistry = {
 	applyLoadReport: (upstream: UpstreamId, report: EngineLoadReport, states: Iterable<UpstreamState>) => void;
-	applyStanding: (upstream: UpstreamId, standing: UpstreamAvailability, states: Iterable<UpstreamState>) => void;
+	applyAvailability: (upstream: UpstreamId, availability: UpstreamAvailability, states: Iterable<UpstreamState>) => void;
 	applyCacheEvents: (events: readonly CacheEvent[], states: Iterable<UpstreamState>) => void;
 	/** Sets the status and load of a new state to the latest that are known. */
 	restore: (state: UpstreamState) => void;
 };
 
-type UpstreamSnapshot = {standing?: UpstreamAvailability; load?: UpstreamState['load']};
+type UpstreamSnapshot = {availability?: UpstreamAvailability; load?: UpstreamState['load']};
 
 /** Creates an empty registry. */
 export const createUpstreamRegistry = (clock: Clock): UpstreamRegistry => {
 	const snapshots = new Map<UpstreamId, UpstreamSnapshot>();
 	const restore = (state: UpstreamState): void => {
-		const {standing, load} = snapshots.get(state.upstream.id) ?? {};
-		state.standing = standing ?? state.standing;
+		const {availability, load} = snapshots.get(state.upstream.id) ?? {};
+		state.availability = availability ?? state.availability;
 		if (load !== undefined) {
 			state.load = load;
 		}
@@ -41,8 +41,8 @@
 		applyLoadReport(upstream, report, states) {
 			apply(upstream, {load: createLoadSample(clock, report)}, states);
 		},
-		applyStanding(upstream, standing, states) {
-			apply(upstream, {standing}, states);
+		applyAvailability(upstream, availability, states) {
+			apply(upstream, {availability}, states);
 		},
 		applyCacheEvents(events, states) {
 			for (const state of states) {
